--- a/examples/steer_choose.c
+++ b/examples/steer_choose.c
@@ -41,7 +41,7 @@
 	/* What came of it teaches the next choice. */
 	feedback = (struct steer_feedback){ choice.place, choice.shift,
 					    RESULT_OK, choice.expected_us, 0 };
-	steer_learn(steer, &feedback, now_us + choice.expected_us);
+	steer_record(steer, &feedback, now_us + choice.expected_us);
 }
 
 int main(void)
--- a/packages/core/seat.c
+++ b/packages/core/seat.c
@@ -9,7 +9,7 @@
 #define READ_RETRY_US (500 * 1000ull)
 
 /* Writes whose answers may still be lost and found; older ones are given up. */
-#define WRITES_REMEMBERED 8
+#define WRITES_TRACKED 8
 
 /* Others leave a free row to the node whose own it is for so long. */
 #define FREE_GRACE_US (2 * SEAT_RENEW_US)
@@ -25,8 +25,9 @@
 struct sent_write {
 	uint64_t nonce; /* 0: none */
 	uint64_t sent_us;
-	bool takes; /* the row wasn't own before */
-	bool waits; /* it was another's, whose admissions may be just past */
+	bool acquires; /* the row wasn't own before */
+	bool delays_admission; /* it was another's, whose admissions may be just
+				  past */
 };
 
 struct seat {
@@ -34,17 +35,17 @@
 
 	/* The row as last seen */
 	enum row_owner owner;
-	bool seen;
+	bool row_known;
 	uint64_t version;
 	uint64_t unchanged_since_us;
 	uint64_t read_due_us;
 
 	/* Own writes */
-	struct sent_write writes[WRITES_REMEMBERED];
+	struct sent_write writes[WRITES_TRACKED];
 	uint64_t nonce; /* of the newest write */
 	uint64_t renew_due_us;
-	uint64_t taken_us; /* when the row became own */
-	bool giving_up;
+	uint64_t acquired_us; /* when the row became own */
+	bool releasing;
 
 	/* The lease */
 	bool leased;
@@ -57,7 +58,7 @@
 	 */
 	uint64_t *admitted_us;
 	uint32_t size; /* at least the part */
-	uint32_t part;
+	uint32_t quota;
 	uint32_t count;
 	uint32_t next; /* where the next one goes */
 	uint64_t newest_us;
@@ -86,18 +87,18 @@
 
 static struct sent_write *write_slot(struct seat *seat, uint64_t nonce)
 {
-	return &seat->writes[nonce % WRITES_REMEMBERED];
+	return &seat->writes[nonce % WRITES_TRACKED];
 }
 
 /* The row holds what our write put there: the lease runs from its sending. */
-static void lease_from(struct seat *seat, const struct sent_write *write)
+static void extend_lease(struct seat *seat, const struct sent_write *write)
 {
 	uint64_t until_us = write->sent_us + SEAT_LEASE_US;
 
-	if (write->waits)
+	if (write->delays_admission)
 		seat->admit_from_us = write->sent_us + SEAT_WINDOW_US;
-	if (write->takes)
-		seat->taken_us = write->sent_us;
+	if (write->acquires)
+		seat->acquired_us = write->sent_us;
 	if (!seat->leased || until_us > seat->lease_until_us)
 		seat->lease_until_us = until_us;
 	seat->leased = true;
@@ -110,8 +111,8 @@
 	seat->lease_until_us = 0;
 }
 
-static void ask_write(struct seat *seat, uint64_t now_us,
-		      struct seat_step *step)
+static void request_write(struct seat *seat, uint64_t now_us,
+			  struct seat_step *step)
 {
 	struct sent_write *write;
 
@@ -119,8 +120,9 @@
 	write = write_slot(seat, seat->nonce);
 	write->nonce = seat->nonce;
 	write->sent_us = now_us;
-	write->takes = seat->owner != ROW_OWN;
-	write->waits = seat->owner == ROW_OTHER || seat->owner == ROW_FREE;
+	write->acquires = seat->owner != ROW_OWN;
+	write->delays_admission = seat->owner == ROW_OTHER ||
+				  seat->owner == ROW_FREE;
 	step->action = SEAT_WRITE;
 	step->expected_version = seat->version;
 	g_snprintf(step->value, sizeof(step->value), "%s %" G_GUINT64_FORMAT,
@@ -133,7 +135,7 @@
  * would then run beside the next holder's. So no write from before this one
  * gives a lease any more; one from after it can't land unless this one missed.
  */
-static void ask_free(struct seat *seat, struct seat_step *step)
+static void request_free(struct seat *seat, struct seat_step *step)
 {
 	memset(seat->writes, 0, sizeof(seat->writes));
 	seat->nonce++;
@@ -143,7 +145,8 @@
 	g_strlcpy(step->value, FREE_VALUE, sizeof(step->value));
 }
 
-static void ask_read(struct seat *seat, uint64_t now_us, struct seat_step *step)
+static void request_read(struct seat *seat, uint64_t now_us,
+			 struct seat_step *step)
 {
 	if (now_us < seat->read_due_us)
 		return;
@@ -152,35 +155,36 @@
 }
 
 /* How long the row must have stood unchanged before this node may take it. */
-static uint64_t patience_us(const struct seat *seat, bool preferred)
+static uint64_t takeover_delay_us(const struct seat *seat, bool preferred)
 {
 	if (seat->owner == ROW_OTHER)
-		return SEAT_LEASE_US + SEAT_DRIFT_US;
+		return SEAT_LEASE_US + SEAT_CLOCK_DRIFT_US;
 	return preferred ? 0 : FREE_GRACE_US;
 }
 
-static bool may_take(const struct seat *seat, bool preferred, uint64_t now_us)
+static bool may_acquire(const struct seat *seat, bool preferred,
+			uint64_t now_us)
 {
-	if (seat->owner == ROW_UNKNOWN || seat->giving_up)
+	if (seat->owner == ROW_UNKNOWN || seat->releasing)
 		return false;
 	return now_us >=
-	       seat->unchanged_since_us + patience_us(seat, preferred);
+	       seat->unchanged_since_us + takeover_delay_us(seat, preferred);
 }
 
-static bool should_hand_back(const struct seat *seat, bool preferred,
-			     uint64_t now_us)
+static bool should_release(const struct seat *seat, bool preferred,
+			   uint64_t now_us)
 {
-	return seat->giving_up ||
-	       (!preferred && now_us >= seat->taken_us + SEAT_BORROW_US);
+	return seat->releasing ||
+	       (!preferred && now_us >= seat->acquired_us + SEAT_BORROW_MAX_US);
 }
 
-static void step_own(struct seat *seat, bool preferred, uint64_t now_us,
-		     struct seat_step *step)
+static void next_own_step(struct seat *seat, bool preferred, uint64_t now_us,
+			  struct seat_step *step)
 {
-	if (should_hand_back(seat, preferred, now_us))
-		ask_free(seat, step);
+	if (should_release(seat, preferred, now_us))
+		request_free(seat, step);
 	else if (now_us >= seat->renew_due_us)
-		ask_write(seat, now_us, step);
+		request_write(seat, now_us, step);
 }
 
 /* When the n-th newest admission was, counted from 1; n is at most count. */
@@ -189,7 +193,7 @@
 	return seat->admitted_us[(seat->next + seat->size - n) % seat->size];
 }
 
-static void count_admission(struct seat *seat, uint64_t now_us)
+static void record_admission(struct seat *seat, uint64_t now_us)
 {
 	seat->admitted_us[seat->next] = now_us;
 	seat->newest_us = now_us;
@@ -199,15 +203,15 @@
 }
 
 /* Whether as many as the part were admitted within the window. */
-static bool is_used_up(const struct seat *seat, uint64_t now_us)
+static bool is_quota_used_up(const struct seat *seat, uint64_t now_us)
 {
-	if (!seat->part)
+	if (!seat->quota)
 		return true;
-	return seat->count >= seat->part &&
-	       now_us - nth_newest(seat, seat->part) <= SEAT_WINDOW_US;
+	return seat->count >= seat->quota &&
+	       now_us - nth_newest(seat, seat->quota) <= SEAT_WINDOW_US;
 }
 
-struct seat *seat_new(const char *holder, uint32_t part_per_s)
+struct seat *seat_new(const char *holder, uint32_t quota_per_s)
 {
 	struct seat *seat;
 
@@ -215,7 +219,7 @@
 		return NULL;
 	seat = g_new0(struct seat, 1);
 	g_strlcpy(seat->holder, holder, sizeof(seat->holder));
-	seat_set_part(seat, part_per_s);
+	seat_set_quota(seat, quota_per_s);
 	return seat;
 }
 
@@ -227,33 +231,33 @@
 	g_free(seat);
 }
 
-uint32_t seat_part(uint32_t cap_per_s, uint32_t rank, uint32_t count)
+uint32_t seat_quota(uint32_t cap_per_s, uint32_t rank, uint32_t count)
 {
 	if (rank >= count)
 		return 0;
 	return cap_per_s / count + (rank < cap_per_s % count ? 1 : 0);
 }
 
-void seat_set_part(struct seat *seat, uint32_t part_per_s)
+void seat_set_quota(struct seat *seat, uint32_t quota_per_s)
 {
 	uint64_t *admitted_us;
 	uint32_t i;
 
-	seat->part = part_per_s;
-	if (part_per_s <= seat->size)
+	seat->quota = quota_per_s;
+	if (quota_per_s <= seat->size)
 		return;
-	admitted_us = g_new(uint64_t, part_per_s);
+	admitted_us = g_new(uint64_t, quota_per_s);
 	for (i = 0; i < seat->count; i++)
 		admitted_us[i] = nth_newest(seat, seat->count - i);
 	g_free(seat->admitted_us);
 	seat->admitted_us = admitted_us;
-	seat->size = part_per_s;
+	seat->size = quota_per_s;
 	seat->next = seat->count;
 }
 
-void seat_give_up(struct seat *seat)
+void seat_release(struct seat *seat)
 {
-	seat->giving_up = true;
+	seat->releasing = true;
 	end_lease(seat);
 }
 
@@ -262,49 +266,50 @@
 {
 	memset(step, 0, sizeof(*step));
 	if (seat->owner == ROW_OWN)
-		step_own(seat, preferred, now_us, step);
-	else if (may_take(seat, preferred, now_us))
-		ask_write(seat, now_us, step);
-	else if (seat->owner == ROW_UNKNOWN || !seat->giving_up)
-		ask_read(seat, now_us, step);
+		next_own_step(seat, preferred, now_us, step);
+	else if (may_acquire(seat, preferred, now_us))
+		request_write(seat, now_us, step);
+	else if (seat->owner == ROW_UNKNOWN || !seat->releasing)
+		request_read(seat, now_us, step);
 }
 
 /* The row is own; the write that made it so gives the lease. */
-static void saw_own_value(struct seat *seat, const char *value, uint64_t now_us)
+static void own_value_read(struct seat *seat, const char *value,
+			   uint64_t now_us)
 {
 	uint64_t nonce = nonce_of(seat, value);
 	const struct sent_write *write = write_slot(seat, nonce);
 
 	seat->owner = ROW_OWN;
 	if (nonce && write->nonce == nonce) {
-		if (!seat->giving_up)
-			lease_from(seat, write);
+		if (!seat->releasing)
+			extend_lease(seat, write);
 		return;
 	}
 	/* It may have taken the row from another, who admitted just before. */
-	if (seat_holds(seat, now_us))
+	if (seat_is_held(seat, now_us))
 		return;
 	seat->admit_from_us = now_us + SEAT_WINDOW_US;
-	seat->taken_us = now_us;
+	seat->acquired_us = now_us;
 }
 
-void seat_saw_row(struct seat *seat, uint64_t version, const char *value,
-		  uint64_t now_us)
+void seat_row_read(struct seat *seat, uint64_t version, const char *value,
+		   uint64_t now_us)
 {
 	seat->read_due_us = now_us + SEAT_RENEW_US;
-	if (!seat->seen || version != seat->version)
+	if (!seat->row_known || version != seat->version)
 		seat->unchanged_since_us = now_us;
-	seat->seen = true;
+	seat->row_known = true;
 	seat->version = version;
 	seat->owner = owner_of(seat, value);
 	if (seat->owner == ROW_OWN)
-		saw_own_value(seat, value, now_us);
+		own_value_read(seat, value, now_us);
 	else
 		end_lease(seat);
 }
 
-void seat_wrote(struct seat *seat, uint64_t version, uint64_t sent_us,
-		uint64_t now_us)
+void seat_row_written(struct seat *seat, uint64_t version, uint64_t sent_us,
+		      uint64_t now_us)
 {
 	struct sent_write *write = write_slot(seat, seat->nonce);
 	bool is_lease = write->nonce == seat->nonce;
@@ -322,14 +327,14 @@
 		seat->owner = ROW_FREE;
 		return;
 	}
-	if (!seat->giving_up)
-		lease_from(seat, write);
+	if (!seat->releasing)
+		extend_lease(seat, write);
 	seat->owner = ROW_OWN;
 }
 
-bool seat_holds(const struct seat *seat, uint64_t now_us)
+bool seat_is_held(const struct seat *seat, uint64_t now_us)
 {
-	return seat->leased && !seat->giving_up &&
+	return seat->leased && !seat->releasing &&
 	       now_us < seat->lease_until_us;
 }
 
@@ -337,9 +342,9 @@
 {
 	if (now_us < seat->newest_us)
 		now_us = seat->newest_us;
-	if (!seat_holds(seat, now_us) || now_us < seat->admit_from_us ||
-	    is_used_up(seat, now_us))
+	if (!seat_is_held(seat, now_us) || now_us < seat->admit_from_us ||
+	    is_quota_used_up(seat, now_us))
 		return false;
-	count_admission(seat, now_us);
+	record_admission(seat, now_us);
 	return true;
 }
--- a/packages/core/steer.c
+++ b/packages/core/steer.c
@@ -13,7 +13,7 @@
 #define BAND_SLACK_US 1000ull
 
 /* Places that the throttle may turn one request away from. */
-#define THROTTLED_MOST 4
+#define THROTTLED_MAX 4
 
 /* Refusals where no single place says when to come back. */
 #define RETRY_DEFAULT_US (1000 * 1000ull)
@@ -37,12 +37,13 @@
 };
 
 /* One choice while it is made. */
-struct choosing {
+struct selection {
 	const struct steer_request *request;
 	uint64_t now_us;
-	uint32_t seen; /* places estimated, the nearest ones */
-	uint32_t throttled; /* positions the throttle turned it away from */
-	uint32_t throttled_positions[THROTTLED_MOST];
+	uint32_t estimated_count; /* places estimated, the nearest ones */
+	uint32_t throttled_count; /* positions the throttle turned it away from
+				   */
+	uint32_t throttled_positions[THROTTLED_MAX];
 	enum result reason; /* of a refusal; the most telling so far */
 	uint64_t retry_after_us;
 };
@@ -96,8 +97,8 @@
 }
 
 /* What was learned before of the place that spec describes, or NULL. */
-static const struct steer_place *find_known(const struct steer *steer,
-					    const struct steer_place_spec *spec)
+static const struct steer_place *
+find_previous(const struct steer *steer, const struct steer_place_spec *spec)
 {
 	uint32_t i;
 
@@ -141,18 +142,19 @@
 
 static void index_places(struct steer *steer)
 {
-	uint32_t most = 0;
+	uint32_t position_count = 0;
 	uint32_t i;
 
 	for (i = 0; i < steer->place_count; i++)
-		if (steer->places[i].spec.place >= most)
-			most = steer->places[i].spec.place + 1;
+		if (steer->places[i].spec.place >= position_count)
+			position_count = steer->places[i].spec.place + 1;
 	g_free(steer->position);
-	steer->position = g_new(uint32_t, most);
-	steer->position_count = most;
+	steer->position = g_new(uint32_t, position_count);
+	steer->position_count = position_count;
 	/* A service that has no slots anywhere has no places either. */
-	if (most)
-		memset(steer->position, 0xff, most * sizeof(*steer->position));
+	if (position_count)
+		memset(steer->position, 0xff,
+		       position_count * sizeof(*steer->position));
 	for (i = 0; i < steer->place_count; i++)
 		steer->position[steer->places[i].spec.place] = i;
 }
@@ -167,18 +169,18 @@
 	return false;
 }
 
-static bool was_throttled(const struct choosing *choosing, uint32_t position)
+static bool was_throttled(const struct selection *selection, uint32_t position)
 {
 	uint32_t i;
 
-	for (i = 0; i < choosing->throttled; i++)
-		if (choosing->throttled_positions[i] == position)
+	for (i = 0; i < selection->throttled_count; i++)
+		if (selection->throttled_positions[i] == position)
 			return true;
 	return false;
 }
 
 /* How much a reason tells the caller, where places have several. */
-static int reason_weight(enum result reason)
+static int refusal_priority(enum result reason)
 {
 	switch (reason) {
 	case RESULT_OVERLOAD:
@@ -192,52 +194,55 @@
 	}
 }
 
-static void note_refusal(struct choosing *choosing, enum result reason,
-			 uint64_t retry_after_us)
+static void record_refusal(struct selection *selection, enum result reason,
+			   uint64_t retry_after_us)
 {
-	if (reason_weight(reason) > reason_weight(choosing->reason))
-		choosing->reason = reason;
-	if (!choosing->retry_after_us ||
-	    retry_after_us < choosing->retry_after_us)
-		choosing->retry_after_us = retry_after_us;
+	if (refusal_priority(reason) > refusal_priority(selection->reason))
+		selection->reason = reason;
+	if (!selection->retry_after_us ||
+	    retry_after_us < selection->retry_after_us)
+		selection->retry_after_us = retry_after_us;
 }
 
 /* A shift from the request's home to the place whose cap is used up. */
-static bool shift_forbids(struct steer *steer, struct choosing *choosing,
-			  uint32_t place)
+static bool shift_cap_reached(struct steer *steer, struct selection *selection,
+			      uint32_t place)
 {
 	uint32_t shift;
 
-	if (choosing->request->home == CONFIG_NONE || !steer->shift_count ||
-	    choosing->request->home == place)
+	if (selection->request->home == CONFIG_NONE || !steer->shift_count ||
+	    selection->request->home == place)
 		return false;
-	shift = find_shift(steer, choosing->request->home, place);
+	shift = find_shift(steer, selection->request->home, place);
 	return shift != CONFIG_NONE &&
-	       !steer_shift_open(&steer->shifts[shift], choosing->now_us);
+	       !steer_shift_cap_allows(&steer->shifts[shift],
+				       selection->now_us);
 }
 
-static void estimate_at(struct steer *steer, struct choosing *choosing,
-			uint32_t position)
+static void estimate_place(struct steer *steer, struct selection *selection,
+			   uint32_t position)
 {
 	struct steer_place *place = &steer->places[position];
 	struct steer_estimate *estimate = &steer->estimates[position];
-	const struct steer_request *request = choosing->request;
-	struct steer_ask ask = { request->class_of,
-				 request->home == place->spec.place,
-				 request->deadline_us };
+	const struct steer_request *request = selection->request;
+	struct steer_place_request place_request = { request->class_of,
+						     request->home ==
+							     place->spec.place,
+						     request->deadline_us };
 
 	if (was_tried(request, place->spec.place) ||
-	    was_throttled(choosing, position)) {
-		estimate->standing = STEER_CLOSED;
+	    was_throttled(selection, position)) {
+		estimate->availability = STEER_CLOSED;
 		return;
 	}
-	steer_place_estimate(place, &ask, choosing->now_us, estimate);
-	if (estimate->standing == STEER_CLOSED) {
-		note_refusal(choosing, estimate->reason,
-			     estimate->retry_after_us);
-	} else if (shift_forbids(steer, choosing, place->spec.place)) {
-		estimate->standing = STEER_CLOSED;
-		note_refusal(choosing, RESULT_OVERLOAD, RETRY_DEFAULT_US);
+	steer_place_estimate(place, &place_request, selection->now_us,
+			     estimate);
+	if (estimate->availability == STEER_CLOSED) {
+		record_refusal(selection, estimate->reason,
+			       estimate->retry_after_us);
+	} else if (shift_cap_reached(steer, selection, place->spec.place)) {
+		estimate->availability = STEER_CLOSED;
+		record_refusal(selection, RESULT_OVERLOAD, RETRY_DEFAULT_US);
 	}
 }
 
@@ -250,8 +255,9 @@
  * Estimate the places from the nearest on; those whose link alone takes longer
  * than the best with headroom can't come near it. Returns that best time.
  */
-static uint64_t estimate_near(struct steer *steer, struct choosing *choosing,
-			      enum steer_standing standing)
+static uint64_t estimate_nearby(struct steer *steer,
+				struct selection *selection,
+				enum steer_availability availability)
 {
 	uint64_t least_us = UINT64_MAX / 2;
 	uint64_t link_us;
@@ -261,47 +267,51 @@
 		link_us = 2 * steer->places[i].spec.one_way_us;
 		if (link_us > band_us(least_us))
 			break;
-		estimate_at(steer, choosing, i);
-		if (steer->estimates[i].standing == standing &&
+		estimate_place(steer, selection, i);
+		if (steer->estimates[i].availability == availability &&
 		    steer->estimates[i].expected_us < least_us)
 			least_us = steer->estimates[i].expected_us;
 	}
-	choosing->seen = i;
+	selection->estimated_count = i;
 	return least_us;
 }
 
-static uint32_t weight_at(const struct steer *steer, uint32_t position,
-			  enum steer_standing standing, uint64_t most_us)
+static uint32_t spread_weight(const struct steer *steer, uint32_t position,
+			      enum steer_availability availability,
+			      uint64_t max_us)
 {
 	const struct steer_estimate *estimate = &steer->estimates[position];
 
-	if (estimate->standing != standing || estimate->expected_us > most_us)
+	if (estimate->availability != availability ||
+	    estimate->expected_us > max_us)
 		return 0;
-	return standing == STEER_HEADROOM ? estimate->spare : 1;
+	return availability == STEER_HEADROOM ? estimate->spare : 1;
 }
 
 /*
  * Spread over the places near the least time by spare headroom: entry nodes
  * that share a stale view would all pick the one best place and fill it.
  */
-static uint32_t pick_near(const struct steer *steer,
-			  const struct choosing *choosing,
-			  enum steer_standing standing, uint64_t least_us)
+static uint32_t pick_within_band(const struct steer *steer,
+				 const struct selection *selection,
+				 enum steer_availability availability,
+				 uint64_t least_us)
 {
-	uint64_t most_us = band_us(least_us);
+	uint64_t max_us = band_us(least_us);
 	uint64_t sum = 0;
 	uint64_t point;
 	uint32_t i;
 
-	for (i = 0; i < choosing->seen; i++)
-		sum += weight_at(steer, i, standing, most_us);
+	for (i = 0; i < selection->estimated_count; i++)
+		sum += spread_weight(steer, i, availability, max_us);
 	if (!sum)
 		return CONFIG_NONE;
 	if (sum > UINT32_MAX)
 		sum = UINT32_MAX;
-	point = draw_below(choosing->request->draw, SALT_SPREAD, (uint32_t)sum);
-	for (i = 0; i < choosing->seen; i++) {
-		sum = weight_at(steer, i, standing, most_us);
+	point = draw_below(selection->request->draw, SALT_SPREAD,
+			   (uint32_t)sum);
+	for (i = 0; i < selection->estimated_count; i++) {
+		sum = spread_weight(steer, i, availability, max_us);
 		if (point < sum)
 			return i;
 		point -= sum;
@@ -310,37 +320,37 @@
 }
 
 /* Home without a scan: it has headroom and answers in about its base time. */
-static uint32_t pick_home(struct steer *steer, struct choosing *choosing)
+static uint32_t pick_home(struct steer *steer, struct selection *selection)
 {
-	uint32_t home = find_position(steer, choosing->request->home);
+	uint32_t home = find_position(steer, selection->request->home);
 	const struct steer_place *place;
 	const struct steer_estimate *estimate;
 	uint64_t base_us;
-	uint64_t excess_us;
+	uint64_t place_latency_us;
 
 	if (home == CONFIG_NONE)
 		return CONFIG_NONE;
-	estimate_at(steer, choosing, home);
+	estimate_place(steer, selection, home);
 	place = &steer->places[home];
 	estimate = &steer->estimates[home];
-	if (estimate->standing != STEER_HEADROOM)
+	if (estimate->availability != STEER_HEADROOM)
 		return CONFIG_NONE;
 	base_us = steer_place_base_us(place);
-	excess_us = estimate->expected_us - 2 * place->spec.one_way_us;
-	return steer_is_slow(excess_us, base_us) ? CONFIG_NONE : home;
+	place_latency_us = estimate->expected_us - 2 * place->spec.one_way_us;
+	return steer_is_slow(place_latency_us, base_us) ? CONFIG_NONE : home;
 }
 
 /* The least expected time of the places seen that have a queue. */
 static uint64_t least_queue_us(const struct steer *steer,
-			       const struct choosing *choosing)
+			       const struct selection *selection)
 {
 	const struct steer_estimate *estimate;
 	uint64_t least_us = UINT64_MAX / 2;
 	uint32_t i;
 
-	for (i = 0; i < choosing->seen; i++) {
+	for (i = 0; i < selection->estimated_count; i++) {
 		estimate = &steer->estimates[i];
-		if (estimate->standing == STEER_QUEUE &&
+		if (estimate->availability == STEER_QUEUE &&
 		    estimate->expected_us < least_us)
 			least_us = estimate->expected_us;
 	}
@@ -352,25 +362,27 @@
  * there takes less than the way to another. Where home takes nothing now, a
  * queue next to it may be the shorter way, too.
  */
-static uint32_t pick_least_time(struct steer *steer, struct choosing *choosing)
+static uint32_t pick_least_time(struct steer *steer,
+				struct selection *selection)
 {
-	uint64_t least_us = estimate_near(steer, choosing, STEER_HEADROOM);
-	uint32_t home = find_position(steer, choosing->request->home);
-	uint32_t picked = pick_near(steer, choosing, STEER_HEADROOM, least_us);
+	uint64_t least_us = estimate_nearby(steer, selection, STEER_HEADROOM);
+	uint32_t home = find_position(steer, selection->request->home);
+	uint32_t picked =
+		pick_within_band(steer, selection, STEER_HEADROOM, least_us);
 	uint64_t queue_us;
 
-	if (picked == CONFIG_NONE || home >= choosing->seen)
+	if (picked == CONFIG_NONE || home >= selection->estimated_count)
 		return picked;
-	if (steer->estimates[home].standing == STEER_QUEUE &&
+	if (steer->estimates[home].availability == STEER_QUEUE &&
 	    steer->places[home].reported &&
 	    steer->estimates[home].expected_us <= least_us)
 		return home;
-	if (steer->estimates[home].standing != STEER_CLOSED)
+	if (steer->estimates[home].availability != STEER_CLOSED)
 		return picked;
-	queue_us = least_queue_us(steer, choosing);
+	queue_us = least_queue_us(steer, selection);
 	if (queue_us > least_us)
 		return picked;
-	return pick_near(steer, choosing, STEER_QUEUE, queue_us);
+	return pick_within_band(steer, selection, STEER_QUEUE, queue_us);
 }
 
 /* Whether the way to the place takes longer than a request does at home. */
@@ -388,22 +400,23 @@
  * instead, its caller comes back when there is room.
  */
 static uint32_t pick_last_resort(const struct steer *steer,
-				 const struct choosing *choosing)
+				 const struct selection *selection)
 {
-	uint32_t home = find_position(steer, choosing->request->home);
-	uint32_t picked = pick_near(steer, choosing, STEER_QUEUE,
-				    least_queue_us(steer, choosing));
+	uint32_t home = find_position(steer, selection->request->home);
+	uint32_t picked = pick_within_band(steer, selection, STEER_QUEUE,
+					   least_queue_us(steer, selection));
 
-	if (picked != CONFIG_NONE && home < choosing->seen &&
+	if (picked != CONFIG_NONE && home < selection->estimated_count &&
 	    steer->estimates[home].overloaded && is_far(steer, picked, home))
 		return CONFIG_NONE;
 	return picked;
 }
 
 /* The shift whose share the draw falls in, or CONFIG_NONE. */
-static uint32_t draw_shift(struct steer *steer, const struct choosing *choosing)
+static uint32_t draw_shift(struct steer *steer,
+			   const struct selection *selection)
 {
-	const struct steer_request *request = choosing->request;
+	const struct steer_request *request = selection->request;
 	uint32_t point = draw_below(request->draw, SALT_SHIFT, PERMILLE);
 	struct steer_shift *shift;
 	struct steer_place *to;
@@ -416,8 +429,8 @@
 			continue;
 		to = find_place(steer, shift->to);
 		if (to)
-			steer_shift_step(shift, to, choosing->now_us);
-		sum += steer_shift_ramp(shift, to, choosing->now_us);
+			steer_shift_step(shift, to, selection->now_us);
+		sum += steer_shift_ramp(shift, to, selection->now_us);
 		if (point < sum)
 			return i;
 	}
@@ -425,66 +438,68 @@
 }
 
 /* A request that was refused elsewhere isn't shifted: it goes home. */
-static uint32_t pick_shift(struct steer *steer, struct choosing *choosing)
+static uint32_t pick_shift(struct steer *steer, struct selection *selection)
 {
 	uint32_t shift;
 	uint32_t position;
 
-	if (!steer->shift_count || choosing->request->home == CONFIG_NONE ||
-	    choosing->request->tried_count)
+	if (!steer->shift_count || selection->request->home == CONFIG_NONE ||
+	    selection->request->tried_count)
 		return CONFIG_NONE;
-	shift = draw_shift(steer, choosing);
+	shift = draw_shift(steer, selection);
 	if (shift == CONFIG_NONE)
 		return CONFIG_NONE;
 	position = find_position(steer, steer->shifts[shift].to);
-	estimate_at(steer, choosing, position);
-	if (steer->estimates[position].standing != STEER_HEADROOM)
+	estimate_place(steer, selection, position);
+	if (steer->estimates[position].availability != STEER_HEADROOM)
 		return CONFIG_NONE;
 	return position;
 }
 
 /* The best place by the rules in turn, not yet throttled. */
-static uint32_t pick(struct steer *steer, struct choosing *choosing,
+static uint32_t pick(struct steer *steer, struct selection *selection,
 		     enum steer_rule *rule)
 {
-	uint32_t position = pick_shift(steer, choosing);
+	uint32_t position = pick_shift(steer, selection);
 
 	*rule = STEER_SHIFT;
 	if (position != CONFIG_NONE)
 		return position;
 	*rule = STEER_HOME;
-	position = pick_home(steer, choosing);
+	position = pick_home(steer, selection);
 	if (position != CONFIG_NONE)
 		return position;
 	*rule = STEER_LEAST_TIME;
-	position = pick_least_time(steer, choosing);
+	position = pick_least_time(steer, selection);
 	if (position != CONFIG_NONE)
 		return position;
 	*rule = STEER_LAST_RESORT;
-	return pick_last_resort(steer, choosing);
+	return pick_last_resort(steer, selection);
 }
 
 /*
  * Pick again while the throttle turns the request away: a place that keeps
  * refusing costs a hop each time, so most of what it would refuse stays here.
  */
-static uint32_t pick_unthrottled(struct steer *steer, struct choosing *choosing,
+static uint32_t pick_unthrottled(struct steer *steer,
+				 struct selection *selection,
 				 enum steer_rule *rule)
 {
 	uint32_t chance;
 	uint32_t position;
 
-	chance = draw_below(choosing->request->draw, SALT_THROTTLE, 65536);
+	chance = draw_below(selection->request->draw, SALT_THROTTLE, 65536);
 	for (;;) {
-		position = pick(steer, choosing, rule);
+		position = pick(steer, selection, rule);
 		if (position == CONFIG_NONE ||
 		    !steer_place_throttled(&steer->places[position], chance,
-					   choosing->now_us))
+					   selection->now_us))
 			return position;
-		note_refusal(choosing, RESULT_OVERLOAD, RETRY_THROTTLED_US);
-		if (choosing->throttled == THROTTLED_MOST)
+		record_refusal(selection, RESULT_OVERLOAD, RETRY_THROTTLED_US);
+		if (selection->throttled_count == THROTTLED_MAX)
 			return CONFIG_NONE;
-		choosing->throttled_positions[choosing->throttled++] = position;
+		selection->throttled_positions[selection->throttled_count++] =
+			position;
 	}
 }
 
@@ -497,10 +512,10 @@
 	choice->retry_after_us = retry_after_us;
 }
 
-static void describe(struct steer *steer, const struct choosing *choosing,
-		     uint32_t position, struct steer_choice *choice)
+static void fill_choice(struct steer *steer, const struct selection *selection,
+			uint32_t position, struct steer_choice *choice)
 {
-	uint32_t home = choosing->request->home;
+	uint32_t home = selection->request->home;
 
 	choice->place = steer->places[position].spec.place;
 	choice->expected_us = steer->estimates[position].expected_us;
@@ -509,27 +524,27 @@
 }
 
 /* The choice, with its position in the places; nothing is accounted yet. */
-static uint32_t decide(struct steer *steer, struct choosing *choosing,
+static uint32_t decide(struct steer *steer, struct selection *selection,
 		       struct steer_choice *choice)
 {
 	uint32_t position;
 
 	memset(choice, 0, sizeof(*choice));
 	choice->shift = CONFIG_NONE;
-	if (choosing->now_us >= choosing->request->deadline_us) {
+	if (selection->now_us >= selection->request->deadline_us) {
 		refuse(choice, RESULT_DEADLINE_EXPIRED, 0);
 		return CONFIG_NONE;
 	}
-	position = pick_unthrottled(steer, choosing, &choice->rule);
+	position = pick_unthrottled(steer, selection, &choice->rule);
 	if (position != CONFIG_NONE) {
-		describe(steer, choosing, position, choice);
+		fill_choice(steer, selection, position, choice);
 		return position;
 	}
-	if (!choosing->reason)
-		choosing->reason = RESULT_NO_PLACE;
-	if (!choosing->retry_after_us)
-		choosing->retry_after_us = RETRY_DEFAULT_US;
-	refuse(choice, choosing->reason, choosing->retry_after_us);
+	if (!selection->reason)
+		selection->reason = RESULT_NO_PLACE;
+	if (!selection->retry_after_us)
+		selection->retry_after_us = RETRY_DEFAULT_US;
+	refuse(choice, selection->reason, selection->retry_after_us);
 	return CONFIG_NONE;
 }
 
@@ -564,7 +579,7 @@
 	uint32_t i;
 
 	for (i = 0; i < count; i++) {
-		known = find_known(steer, &specs[i]);
+		known = find_previous(steer, &specs[i]);
 		if (known) {
 			places[i] = *known;
 			steer_place_configure(&places[i], &specs[i], now_us);
@@ -617,13 +632,13 @@
 void steer_choose(struct steer *steer, const struct steer_request *request,
 		  uint64_t now_us, struct steer_choice *choice)
 {
-	struct choosing choosing = { .request = request, .now_us = now_us };
-	uint32_t position = decide(steer, &choosing, choice);
+	struct selection selection = { .request = request, .now_us = now_us };
+	uint32_t position = decide(steer, &selection, choice);
 	uint32_t i;
 
-	for (i = 0; i < choosing.throttled; i++)
-		steer_place_turn_away(
-			&steer->places[choosing.throttled_positions[i]]);
+	for (i = 0; i < selection.throttled_count; i++)
+		steer_place_count_throttled(
+			&steer->places[selection.throttled_positions[i]]);
 	if (position == CONFIG_NONE)
 		return;
 	steer_place_send(&steer->places[position], now_us);
@@ -634,25 +649,25 @@
 void steer_explain(struct steer *steer, const struct steer_request *request,
 		   uint64_t now_us, struct steer_choice *choice)
 {
-	struct choosing choosing = { .request = request, .now_us = now_us };
+	struct selection selection = { .request = request, .now_us = now_us };
 
-	decide(steer, &choosing, choice);
+	decide(steer, &selection, choice);
 }
 
-void steer_learn(struct steer *steer, const struct steer_feedback *feedback,
-		 uint64_t now_us)
+void steer_record(struct steer *steer, const struct steer_feedback *feedback,
+		  uint64_t now_us)
 {
 	struct steer_place *place = find_place(steer, feedback->place);
 	struct steer_shift *shift;
 
 	if (!place)
 		return;
-	steer_place_learn(place, feedback, now_us);
+	steer_place_record(place, feedback, now_us);
 	if (feedback->shift >= steer->shift_count)
 		return;
 	shift = &steer->shifts[feedback->shift];
 	if (shift->to == feedback->place)
-		steer_shift_learn(shift, place, feedback, now_us);
+		steer_shift_record(shift, place, feedback, now_us);
 }
 
 bool steer_view(const struct steer *steer, uint32_t index, uint64_t now_us,
--- a/packages/core/steer.h
+++ b/packages/core/steer.h
@@ -128,8 +128,8 @@
 		   uint64_t now_us, struct steer_choice *choice);
 
 /* Every choice that named a place is followed by one feedback. */
-void steer_learn(struct steer *steer, const struct steer_feedback *feedback,
-		 uint64_t now_us);
+void steer_record(struct steer *steer, const struct steer_feedback *feedback,
+		  uint64_t now_us);
 
 /* View of the index-th place; false past the last one. */
 bool steer_view(const struct steer *steer, uint32_t index, uint64_t now_us,
--- a/packages/core/steer_bucket.c
+++ b/packages/core/steer_bucket.c
@@ -16,11 +16,11 @@
 {
 	uint64_t passed_us = 0;
 
-	if (now_us > bucket->filled_us)
-		passed_us = MIN(now_us - bucket->filled_us, MICRO);
+	if (now_us > bucket->refilled_us)
+		passed_us = MIN(now_us - bucket->refilled_us, MICRO);
 	bucket->tokens_micro = MIN(bucket->tokens_micro + passed_us * per_s,
 				   bucket_burst(per_s));
-	bucket->filled_us = MAX(bucket->filled_us, now_us);
+	bucket->refilled_us = MAX(bucket->refilled_us, now_us);
 	return bucket->tokens_micro >= MICRO;
 }
 
@@ -33,7 +33,7 @@
 		       uint64_t now_us)
 {
 	bucket->tokens_micro = bucket_burst(per_s);
-	bucket->filled_us = now_us;
+	bucket->refilled_us = now_us;
 }
 
 uint64_t steer_bucket_wait_us(const struct steer_bucket *bucket, uint32_t per_s)
--- a/packages/core/steer_bucket.h
+++ b/packages/core/steer_bucket.h
@@ -17,7 +17,7 @@
 
 struct steer_bucket {
 	uint64_t tokens_micro; /* millionths of a request */
-	uint64_t filled_us;
+	uint64_t refilled_us;
 };
 
 /* Fill the bucket with its whole burst. */
--- a/packages/core/steer_place.c
+++ b/packages/core/steer_place.c
@@ -1,24 +1,24 @@
-#include "core/steer_place_parts.h"
+#include "core/steer_place_internal.h"
 
 #include <glib.h>
 #include <string.h>
 
 /* Without new samples the learned latency nears the base by half in this. */
-#define LEARN_HALF_US (2 * MICRO)
+#define LATENCY_HALF_LIFE_US (2 * MICRO)
 
-#define RETURN_MOST_STEPS 20
+#define SLOW_START_MAX_STEPS 20
 
-#define CLOSED_TRIAL_US (1 * MICRO)
+#define CLOSED_TRIAL_INTERVAL_US (1 * MICRO)
 
 /* Part of the configured slots presumed free where nothing is known. */
 #define PRESUMED_DIVISOR 8
 /* Part of the slots kept free, once or twice. */
 #define RESERVE_DIVISOR 8
 /* A request joins a queue that takes at most this part of its time. */
-#define QUEUE_DIVISOR 2
+#define QUEUE_TIME_DIVISOR 2
 
-#define RETRY_LEAST_US (20 * 1000ull)
-#define RETRY_MOST_US (5 * MICRO)
+#define RETRY_MIN_US (20 * 1000ull)
+#define RETRY_MAX_US (5 * MICRO)
 /* A place without usable slots: its backend servers left or are down. */
 #define NO_SLOTS_RETRY_US (1 * MICRO)
 
@@ -34,7 +34,7 @@
 
 static uint64_t report_age_us(const struct steer_place *place, uint64_t now_us)
 {
-	return since(place->report_made_us, now_us);
+	return elapsed_us(place->report_made_us, now_us);
 }
 
 /* Advance the ring of sent requests to the present bucket. */
@@ -76,7 +76,7 @@
 		end_us = MIN(begin_us + STEER_SENT_BUCKET_US, now_us);
 		/* Of the bucket that holds the moment, the part after it. */
 		if (then_us > begin_us && end_us > begin_us)
-			count = count * since(then_us, end_us) /
+			count = count * elapsed_us(then_us, end_us) /
 				(end_us - begin_us);
 		sum += count;
 	}
@@ -88,7 +88,7 @@
  * there is wrong (a frozen reporter, one that always says zero): the own count
  * holds then.
  */
-static uint64_t busy(const struct steer_place *place)
+static uint64_t requests_at_place(const struct steer_place *place)
 {
 	uint64_t reported = place->report.in_flight;
 
@@ -99,77 +99,80 @@
 static uint64_t queue_wait_us(const struct steer_place *place)
 {
 	uint64_t slots = usable_slots(place);
-	uint64_t occupied = busy(place);
-	uint64_t wait_us = MIN(place->report.wait_us, TIME_MOST_US);
-	uint64_t service_us = MIN(place->report.service_us, TIME_MOST_US);
+	uint64_t occupied = requests_at_place(place);
+	uint64_t wait_us = MIN(place->report.wait_us, TIME_MAX_US);
+	uint64_t service_us = MIN(place->report.service_us, TIME_MAX_US);
 	uint64_t queue;
 
 	if (!slots || occupied < slots)
 		return wait_us;
 	queue = occupied + 1 - slots;
-	return MIN(MAX(wait_us, queue * service_us / slots), TIME_MOST_US);
+	return MIN(MAX(wait_us, queue * service_us / slots), TIME_MAX_US);
 }
 
-uint64_t steer_place_excess_us(const struct steer_place *place, uint64_t now_us)
+uint64_t steer_place_latency_us(const struct steer_place *place,
+				uint64_t now_us)
 {
-	uint64_t halvings = since(place->learned_us, now_us) / LEARN_HALF_US;
+	uint64_t halvings = elapsed_us(place->latency_sampled_us, now_us) /
+			    LATENCY_HALF_LIFE_US;
 	uint64_t over;
 
-	if (place->excess_us <= place->base_us)
-		return place->excess_us;
+	if (place->place_latency_us <= place->base_us)
+		return place->place_latency_us;
 	if (halvings >= 64)
 		return place->base_us;
-	over = place->excess_us - place->base_us;
+	over = place->place_latency_us - place->base_us;
 	return place->base_us + (over >> halvings);
 }
 
 /* Most requests in flight that health and window allow. */
-static uint32_t allowed_in_flight(const struct steer_place *place,
-				  uint64_t now_us)
+static uint32_t max_in_flight(const struct steer_place *place, uint64_t now_us)
 {
-	uint32_t most = place->window_milli / MILLI;
+	uint32_t limit = place->window_milli / MILLI;
 	uint64_t steps;
 
-	if (place->return_us) {
-		steps = since(place->return_us, now_us) / STEER_STEP_US;
-		steps = MIN(steps, RETURN_MOST_STEPS);
-		most = (uint32_t)MIN(most, 1ull << steps);
+	if (place->slow_start_us) {
+		steps = elapsed_us(place->slow_start_us, now_us) /
+			STEER_SLOW_START_STEP_US;
+		steps = MIN(steps, SLOW_START_MAX_STEPS);
+		limit = (uint32_t)MIN(limit, 1ull << steps);
 	}
-	return most;
+	return limit;
 }
 
 /* End a stepped return once its steps bound nothing. */
-static void end_return(struct steer_place *place, uint64_t now_us)
+static void end_slow_start(struct steer_place *place, uint64_t now_us)
 {
 	uint64_t steps;
 
-	if (!place->return_us)
+	if (!place->slow_start_us)
 		return;
-	steps = since(place->return_us, now_us) / STEER_STEP_US;
-	if (steps >= RETURN_MOST_STEPS || 1ull << steps >= place->spec.slots)
-		place->return_us = 0;
+	steps = elapsed_us(place->slow_start_us, now_us) /
+		STEER_SLOW_START_STEP_US;
+	if (steps >= SLOW_START_MAX_STEPS || 1ull << steps >= place->spec.slots)
+		place->slow_start_us = 0;
 }
 
 static uint32_t silent_rate(const struct steer_place *place, uint64_t now_us)
 {
-	uint64_t silent_us =
-		since(place->report_made_us + STEER_FRESH_US, now_us);
-	uint64_t halvings = MIN(silent_us / STEER_SILENT_HALF_US, 31);
+	uint64_t silent_us = elapsed_us(
+		place->report_made_us + STEER_REPORT_MAX_AGE_US, now_us);
+	uint64_t halvings = MIN(silent_us / STEER_SILENT_HALF_LIFE_US, 31);
 	uint32_t rate = place->silent_per_s >> halvings;
 
 	return rate > STEER_SILENT_FLOOR_PER_S ? rate :
 						 STEER_SILENT_FLOOR_PER_S;
 }
 
-static void notice_silence(struct steer_place *place, uint64_t now_us)
+static void update_silence(struct steer_place *place, uint64_t now_us)
 {
 	bool silent = steer_place_is_silent(place, now_us);
 
 	if (silent && !place->silent) {
 		place->silent_per_s =
-			sent_since(place, since(MICRO, now_us), now_us);
+			sent_since(place, elapsed_us(MICRO, now_us), now_us);
 		place->silent_bucket.tokens_micro = MICRO;
-		place->silent_bucket.filled_us = now_us;
+		place->silent_bucket.refilled_us = now_us;
 	}
 	place->silent = silent;
 }
@@ -177,11 +180,11 @@
 static void close_estimate(struct steer_estimate *estimate, enum result reason,
 			   uint64_t retry_after_us)
 {
-	estimate->standing = STEER_CLOSED;
+	estimate->availability = STEER_CLOSED;
 	estimate->spare = 0;
 	estimate->reason = reason;
-	retry_after_us = MAX(retry_after_us, RETRY_LEAST_US);
-	estimate->retry_after_us = MIN(retry_after_us, RETRY_MOST_US);
+	retry_after_us = MAX(retry_after_us, RETRY_MIN_US);
+	estimate->retry_after_us = MIN(retry_after_us, RETRY_MAX_US);
 }
 
 /*
@@ -198,11 +201,12 @@
 }
 
 /* Health, refusals, window: false and a closed estimate where they forbid. */
-static bool passes_own_guards(const struct steer_place *place,
-			      enum service_class class_of, uint64_t now_us,
-			      struct steer_estimate *estimate)
+static bool passes_health_and_window(const struct steer_place *place,
+				     enum service_class class_of,
+				     uint64_t now_us,
+				     struct steer_estimate *estimate)
 {
-	uint64_t trial_us = since(now_us, place->trial_at_us);
+	uint64_t trial_us = elapsed_us(now_us, place->trial_at_us);
 
 	if (place->failing) {
 		if (trial_allowed(place, class_of, now_us))
@@ -211,13 +215,13 @@
 		return false;
 	}
 	if (now_us < place->closed_until_us &&
-	    since(place->sent_us, now_us) < CLOSED_TRIAL_US) {
+	    elapsed_us(place->sent_us, now_us) < CLOSED_TRIAL_INTERVAL_US) {
 		close_estimate(estimate, RESULT_OVERLOAD,
 			       place->closed_until_us - now_us);
 		return false;
 	}
-	if (own_in_flight(place) >= allowed_in_flight(place, now_us)) {
-		estimate->overloaded = !place->return_us;
+	if (own_in_flight(place) >= max_in_flight(place, now_us)) {
+		estimate->overloaded = !place->slow_start_us;
 		close_estimate(estimate, RESULT_OVERLOAD,
 			       steer_place_base_us(place));
 		return false;
@@ -226,8 +230,8 @@
 }
 
 /* Silence and link: the same. */
-static bool passes_rates(struct steer_place *place, uint64_t now_us,
-			 struct steer_estimate *estimate)
+static bool passes_rate_limits(struct steer_place *place, uint64_t now_us,
+			       struct steer_estimate *estimate)
 {
 	uint32_t rate = place->spec.link_limit_per_s;
 
@@ -236,7 +240,7 @@
 			       steer_bucket_wait_us(place->link, rate));
 		return false;
 	}
-	notice_silence(place, now_us);
+	update_silence(place, now_us);
 	if (!place->silent)
 		return true;
 	rate = silent_rate(place, now_us);
@@ -258,8 +262,8 @@
 }
 
 /* Headroom where nothing was ever reported: a guess, so never HEADROOM. */
-static void estimate_presumed(const struct steer_place *place,
-			      struct steer_estimate *estimate)
+static void estimate_unreported(const struct steer_place *place,
+				struct steer_estimate *estimate)
 {
 	uint64_t presumed = MAX(place->spec.slots / PRESUMED_DIVISOR, 1);
 
@@ -267,7 +271,7 @@
 		close_estimate(estimate, RESULT_OVERLOAD,
 			       steer_place_base_us(place));
 	else
-		estimate->standing = STEER_QUEUE;
+		estimate->availability = STEER_QUEUE;
 }
 
 /*
@@ -275,13 +279,14 @@
  * place to the brim would leave its own callers to queue, and entry nodes that
  * fill it by the same report overshoot together: the reserve takes that up.
  */
-static uint64_t reserve(uint64_t slots, const struct steer_ask *ask)
+static uint64_t reserved_slots(uint64_t slots,
+			       const struct steer_place_request *request)
 {
 	uint64_t parts = 0;
 
-	if (!ask->at_home)
+	if (!request->at_home)
 		parts++;
-	if (ask->class_of == SERVICE_BACKGROUND)
+	if (request->class_of == SERVICE_BACKGROUND)
 		parts++;
 	return slots * parts / RESERVE_DIVISOR;
 }
@@ -291,29 +296,31 @@
  * place meanwhile, so the older it is the less of it is taken as free.
  */
 static void estimate_reported(const struct steer_place *place,
-			      const struct steer_ask *ask, uint64_t now_us,
-			      struct steer_estimate *estimate)
+			      const struct steer_place_request *request,
+			      uint64_t now_us, struct steer_estimate *estimate)
 {
 	uint64_t slots = usable_slots(place);
-	uint64_t taken = busy(place) + reserve(slots, ask);
-	uint64_t age_us = MIN(report_age_us(place, now_us), STEER_FRESH_US);
+	uint64_t taken =
+		requests_at_place(place) + reserved_slots(slots, request);
+	uint64_t age_us =
+		MIN(report_age_us(place, now_us), STEER_REPORT_MAX_AGE_US);
 	uint64_t wait_us = queue_wait_us(place);
-	uint64_t whole = 2 * STEER_FRESH_US;
+	uint64_t scale_us = 2 * STEER_REPORT_MAX_AGE_US;
 
 	if (!slots) {
 		close_estimate(estimate, RESULT_NO_PLACE, NO_SLOTS_RETRY_US);
 		return;
 	}
 	if (taken < slots) {
-		estimate->standing = STEER_HEADROOM;
+		estimate->availability = STEER_HEADROOM;
 		estimate->spare =
-			(uint32_t)(((slots - taken) * (whole - age_us) + whole -
-				    1) /
-				   whole);
+			(uint32_t)(((slots - taken) * (scale_us - age_us) +
+				    scale_us - 1) /
+				   scale_us);
 		return;
 	}
-	if (wait_us <= (ask->deadline_us - now_us) / QUEUE_DIVISOR)
-		estimate->standing = STEER_QUEUE;
+	if (wait_us <= (request->deadline_us - now_us) / QUEUE_TIME_DIVISOR)
+		estimate->availability = STEER_QUEUE;
 	else
 		close_estimate(estimate, RESULT_OVERLOAD, wait_us);
 }
@@ -325,8 +332,8 @@
 	place->spec.place = spec->place;
 	steer_place_configure(place, spec, now_us);
 	place->report_made_us = now_us;
-	place->window_milli = WINDOW_OPEN;
-	place->halved_us = now_us;
+	place->window_milli = WINDOW_UNLIMITED;
+	place->throttle_halved_us = now_us;
 }
 
 void steer_place_configure(struct steer_place *place,
@@ -354,15 +361,15 @@
 			const struct gate_summary *report, uint64_t age_us,
 			uint64_t now_us)
 {
-	uint64_t made_us = since(age_us, now_us);
+	uint64_t made_us = elapsed_us(age_us, now_us);
 	uint32_t in_flight = own_in_flight(place);
-	uint64_t under_way_us = MIN(place->spec.one_way_us, TIME_MOST_US);
+	uint64_t link_us = MIN(place->spec.one_way_us, TIME_MAX_US);
 	uint32_t unreported;
 
 	if (place->reported && made_us <= place->report_made_us)
 		return;
 	/* What was on its way when the report was made isn't in it. */
-	unreported = sent_since(place, since(under_way_us, made_us), now_us);
+	unreported = sent_since(place, elapsed_us(link_us, made_us), now_us);
 	if (unreported > in_flight)
 		unreported = in_flight;
 	place->own_unreported = unreported;
@@ -372,19 +379,19 @@
 	 * at once, while its caches are cold: it is filled in steps. A few
 	 * reports that were lost are no such return.
 	 */
-	if (place->reported &&
-	    since(place->report_made_us, made_us) >= STEER_RETURN_AFTER_US)
-		begin_return(place, now_us);
+	if (place->reported && elapsed_us(place->report_made_us, made_us) >=
+				       STEER_SLOW_START_AFTER_US)
+		begin_slow_start(place, now_us);
 	place->report = *report;
 	place->report_made_us = made_us;
 	place->reported = true;
 }
 
 void steer_place_estimate(struct steer_place *place,
-			  const struct steer_ask *ask, uint64_t now_us,
-			  struct steer_estimate *estimate)
+			  const struct steer_place_request *request,
+			  uint64_t now_us, struct steer_estimate *estimate)
 {
-	uint64_t time_us = since(now_us, ask->deadline_us);
+	uint64_t time_us = elapsed_us(now_us, request->deadline_us);
 
 	estimate->spare = 0;
 	estimate->overloaded = false;
@@ -392,12 +399,13 @@
 	estimate->retry_after_us = 0;
 	estimate->expected_us = steer_place_expected_us(place, now_us);
 	if (place->spec.drained) {
-		close_estimate(estimate, RESULT_NO_PLACE, RETRY_MOST_US);
+		close_estimate(estimate, RESULT_NO_PLACE, RETRY_MAX_US);
 		return;
 	}
-	end_return(place, now_us);
-	if (!passes_own_guards(place, ask->class_of, now_us, estimate) ||
-	    !passes_rates(place, now_us, estimate))
+	end_slow_start(place, now_us);
+	if (!passes_health_and_window(place, request->class_of, now_us,
+				      estimate) ||
+	    !passes_rate_limits(place, now_us, estimate))
 		return;
 	if (estimate->expected_us > time_us) {
 		close_estimate(estimate, late_reason(place, time_us),
@@ -405,9 +413,9 @@
 		return;
 	}
 	if (place->reported)
-		estimate_reported(place, ask, now_us, estimate);
+		estimate_reported(place, request, now_us, estimate);
 	else
-		estimate_presumed(place, estimate);
+		estimate_unreported(place, estimate);
 }
 
 void steer_place_send(struct steer_place *place, uint64_t now_us)
@@ -429,24 +437,24 @@
 uint64_t steer_place_expected_us(const struct steer_place *place,
 				 uint64_t now_us)
 {
-	uint64_t link_us = 2 * MIN(place->spec.one_way_us, TIME_MOST_US);
-	uint64_t learned_us = steer_place_excess_us(place, now_us);
+	uint64_t link_us = 2 * MIN(place->spec.one_way_us, TIME_MAX_US);
+	uint64_t latency_us = steer_place_latency_us(place, now_us);
 	uint64_t reported_us = 0;
 
 	if (place->reported)
 		reported_us = queue_wait_us(place) +
-			      MIN(place->report.service_us, TIME_MOST_US);
-	return link_us + MAX(reported_us, learned_us);
+			      MIN(place->report.service_us, TIME_MAX_US);
+	return link_us + MAX(reported_us, latency_us);
 }
 
 uint64_t steer_place_base_us(const struct steer_place *place)
 {
 	if (place->base_us)
 		return place->base_us;
-	return MIN(place->report.service_us, TIME_MOST_US);
+	return MIN(place->report.service_us, TIME_MAX_US);
 }
 
 bool steer_place_is_silent(const struct steer_place *place, uint64_t now_us)
 {
-	return report_age_us(place, now_us) > STEER_FRESH_US;
+	return report_age_us(place, now_us) > STEER_REPORT_MAX_AGE_US;
 }
--- a/packages/core/steer_place.h
+++ b/packages/core/steer_place.h
@@ -7,12 +7,12 @@
  *
  * Guards, in the order in which they are asked:
  *   health   a place that fails gets trial requests only, then 1, 2, 4, ...
- *            requests in flight, doubled each STEER_STEP_US
+ *            requests in flight, doubled each STEER_SLOW_START_STEP_US
  *   closed   a gate that refuses request after request and names a time to come
  *            back isn't asked before it
  *   window   requests in flight, cut on overload, grown by answers
  *   silence  without reports a place keeps at most the rate it had, halved each
- *            STEER_SILENT_HALF_US, down to STEER_SILENT_FLOOR_PER_S
+ *            STEER_SILENT_HALF_LIFE_US, down to STEER_SILENT_FLOOR_PER_S
  *   link     a bucket of the link's requests a second
  *   reserve  an eighth of the slots is no headroom to requests from elsewhere,
  *            and another eighth none to background requests
@@ -31,14 +31,14 @@
 #endif
 
 /* A report older than this leaves the place silent. */
-#define STEER_FRESH_US (2 * 1000 * 1000ull)
-#define STEER_SILENT_HALF_US (2 * 1000 * 1000ull)
+#define STEER_REPORT_MAX_AGE_US (2 * 1000 * 1000ull)
+#define STEER_SILENT_HALF_LIFE_US (2 * 1000 * 1000ull)
 #define STEER_SILENT_FLOOR_PER_S 2
 /* Heard of again after so long, a place returns in steps. */
-#define STEER_RETURN_AFTER_US (6 * 1000 * 1000ull)
-#define STEER_STEP_US (1 * 1000 * 1000ull)
-#define STEER_TRIAL_FIRST_US (250 * 1000ull)
-#define STEER_TRIAL_MOST_US (8 * 1000 * 1000ull)
+#define STEER_SLOW_START_AFTER_US (6 * 1000 * 1000ull)
+#define STEER_SLOW_START_STEP_US (1 * 1000 * 1000ull)
+#define STEER_TRIAL_MIN_US (250 * 1000ull)
+#define STEER_TRIAL_MAX_US (8 * 1000 * 1000ull)
 
 /* Own requests by time sent: the last second in buckets. */
 #define STEER_SENT_BUCKETS 16
@@ -57,9 +57,9 @@
 	uint32_t sent[STEER_SENT_BUCKETS];
 	uint64_t sent_bucket; /* number of the newest bucket */
 
-	uint64_t excess_us; /* learned latency without the link */
+	uint64_t place_latency_us; /* learned latency without the link */
 	uint64_t base_us; /* the same when all is well; 0: nothing yet */
-	uint64_t learned_us; /* when */
+	uint64_t latency_sampled_us; /* when */
 	uint64_t base_raised_us;
 
 	uint32_t window_milli; /* UINT32_MAX: open */
@@ -68,20 +68,21 @@
 	uint64_t closed_until_us;
 	uint64_t sent_us; /* last request */
 
-	uint32_t asked; /* settled or turned away; decayed, for the throttle */
-	uint32_t accepted;
-	uint64_t halved_us;
+	uint32_t throttle_requests; /* settled or turned away; decayed, for the
+				       throttle */
+	uint32_t throttle_accepts;
+	uint64_t throttle_halved_us;
 
 	bool failing;
 	bool trial_sent;
-	uint32_t refusals_in_row; /* of the gate, since the last answer */
-	uint32_t failures_in_row;
+	uint32_t consecutive_refusals; /* of the gate, since the last answer */
+	uint32_t consecutive_failures;
 	uint32_t failure_permille;
 	uint64_t failed_us;
 	uint64_t recovered_us;
 	uint64_t trial_at_us;
 	uint64_t backoff_us;
-	uint64_t return_us; /* when a stepped return began; 0: none */
+	uint64_t slow_start_us; /* when a stepped return began; 0: none */
 
 	bool silent; /* as the last estimate saw it */
 	uint32_t silent_per_s; /* rate when it fell silent */
@@ -92,20 +93,20 @@
 };
 
 /* What a request asks of a place. */
-struct steer_ask {
+struct steer_place_request {
 	enum service_class class_of;
 	bool at_home; /* the place is the caller's */
 	uint64_t deadline_us;
 };
 
-enum steer_standing {
+enum steer_availability {
 	STEER_CLOSED, /* nothing may go there now */
 	STEER_QUEUE, /* it has no headroom, or none is known */
 	STEER_HEADROOM,
 };
 
 struct steer_estimate {
-	enum steer_standing standing;
+	enum steer_availability availability;
 	uint32_t spare; /* headroom in requests, for STEER_HEADROOM */
 	uint64_t expected_us;
 	enum result reason; /* for STEER_CLOSED */
@@ -126,21 +127,21 @@
 
 /* What such a request may expect there. */
 void steer_place_estimate(struct steer_place *place,
-			  const struct steer_ask *ask, uint64_t now_us,
-			  struct steer_estimate *estimate);
+			  const struct steer_place_request *request,
+			  uint64_t now_us, struct steer_estimate *estimate);
 
 /* Whether the throttle turns this request away; chance is below 65536. */
 bool steer_place_throttled(struct steer_place *place, uint32_t chance,
 			   uint64_t now_us);
 
 /* The throttle kept a request from the place. */
-void steer_place_turn_away(struct steer_place *place);
+void steer_place_count_throttled(struct steer_place *place);
 
 /* A request goes there. */
 void steer_place_send(struct steer_place *place, uint64_t now_us);
 
-void steer_place_learn(struct steer_place *place,
-		       const struct steer_feedback *feedback, uint64_t now_us);
+void steer_place_record(struct steer_place *place,
+			const struct steer_feedback *feedback, uint64_t now_us);
 
 /* Expected time with link and queue; UINT64_MAX / 4 at most. */
 uint64_t steer_place_expected_us(const struct steer_place *place,
@@ -152,7 +153,7 @@
 bool steer_place_is_silent(const struct steer_place *place, uint64_t now_us);
 
 /* Whether a time without the link is well over the base. */
-bool steer_is_slow(uint64_t excess_us, uint64_t base_us);
+bool steer_is_slow(uint64_t place_latency_us, uint64_t base_us);
 
 #ifdef __cplusplus
 }
--- a/packages/core/steer_place_parts.h
+++ b/packages/core/steer_place_internal.h
@@ -1,10 +1,10 @@
 /*
- * steer_place_parts - what steer_place.c and steer_place_learn.c share
+ * steer_place_parts - what steer_place.c and steer_place_record.c share
  *
  * Internal to these two. Times are microseconds.
  */
-#ifndef CORE_STEER_PLACE_PARTS_H
-#define CORE_STEER_PLACE_PARTS_H
+#ifndef CORE_STEER_PLACE_INTERNAL_H
+#define CORE_STEER_PLACE_INTERNAL_H
 
 #include <glib.h>
 #include <stdint.h>
@@ -15,15 +15,15 @@
 #define MILLI 1000u
 
 /* Whatever a report or a clock says, no single time counts for more. */
-#define TIME_MOST_US (60 * MICRO)
+#define TIME_MAX_US (60 * MICRO)
 
 /* A window that bounds nothing. */
-#define WINDOW_OPEN UINT32_MAX
+#define WINDOW_UNLIMITED UINT32_MAX
 
 /* Time that has passed; 0 where then is later. */
-static inline uint64_t since(uint64_t then_us, uint64_t now_us)
+static inline uint64_t elapsed_us(uint64_t from_us, uint64_t to_us)
 {
-	return now_us > then_us ? now_us - then_us : 0;
+	return to_us > from_us ? to_us - from_us : 0;
 }
 
 static inline uint32_t own_in_flight(const struct steer_place *place)
@@ -31,13 +31,13 @@
 	return place->own_reported + place->own_unreported;
 }
 
-static inline void begin_return(struct steer_place *place, uint64_t now_us)
+static inline void begin_slow_start(struct steer_place *place, uint64_t now_us)
 {
-	place->return_us = MAX(now_us, 1);
+	place->slow_start_us = MAX(now_us, 1);
 }
 
 /* Learned latency without the link; it nears the base without new samples. */
-uint64_t steer_place_excess_us(const struct steer_place *place,
-			       uint64_t now_us);
+uint64_t steer_place_latency_us(const struct steer_place *place,
+				uint64_t now_us);
 
 #endif
--- a/packages/core/steer_place_learn.c
+++ b/packages/core/steer_place_record.c
@@ -1,4 +1,4 @@
-#include "core/steer_place_parts.h"
+#include "core/steer_place_internal.h"
 
 /* Weight of the newest sample in learned averages. */
 #define LEARN_DIVISOR 8
@@ -8,10 +8,10 @@
 #define SLOW_FACTOR 2
 #define SLOW_SLACK_US (5 * 1000ull)
 
-#define FAILURES_IN_ROW 3
-#define FAILURE_MOST_PERMILLE 500
+#define FAILING_AFTER_FAILURES 3
+#define FAILURE_MAX_PERMILLE 500
 /* Healthy for so long, a place starts with short trial intervals again. */
-#define BACKOFF_FORGET_US (30 * MICRO)
+#define BACKOFF_RESET_US (30 * MICRO)
 
 #define WINDOW_CUT_PERCENT 70
 /* Refusals of what was sent before a cut come back within link and this. */
@@ -20,16 +20,16 @@
 #define WINDOW_NEAR_PERCENT 90
 #define WINDOW_NEAR_DIVISOR 8
 /* A window this many times the slots wide bounds nothing. */
-#define WINDOW_OPEN_FACTOR 4
+#define WINDOW_UNLIMITED_FACTOR 4
 
-#define CLOSED_MOST_US (5 * MICRO)
-#define CLOSED_REFUSALS_IN_ROW 3
+#define CLOSED_MAX_US (5 * MICRO)
+#define CLOSED_AFTER_REFUSALS 3
 
 /* The throttle lets through this many requests for each accepted one. */
 #define THROTTLE_FACTOR 2
-#define THROTTLE_LEAST_ASKED 10
-#define THROTTLE_HALF_US (2 * MICRO)
-#define CHANCES 65536ull
+#define THROTTLE_MIN_REQUESTS 10
+#define THROTTLE_HALF_LIFE_US (2 * MICRO)
+#define CHANCE_RANGE 65536ull
 
 /* The base follows samples down at once and up slowly. */
 static void learn_base(struct steer_place *place, uint64_t sample,
@@ -39,10 +39,10 @@
 		place->base_us -= (place->base_us - sample) / LEARN_DIVISOR;
 		return;
 	}
-	if (since(place->base_raised_us, now_us) < BASE_RISE_INTERVAL_US)
+	if (elapsed_us(place->base_raised_us, now_us) < BASE_RISE_INTERVAL_US)
 		return;
 	place->base_us += place->base_us / BASE_RISE_DIVISOR;
-	place->base_us = MIN(place->base_us, place->excess_us);
+	place->base_us = MIN(place->base_us, place->place_latency_us);
 	place->base_us = MAX(place->base_us, 1);
 	place->base_raised_us = now_us;
 }
@@ -50,18 +50,20 @@
 static void learn_latency(struct steer_place *place, uint64_t latency_us,
 			  uint64_t now_us)
 {
-	uint64_t sample = MIN(since(2 * place->spec.one_way_us, latency_us),
-			      TIME_MOST_US);
+	uint64_t sample =
+		MIN(elapsed_us(2 * place->spec.one_way_us, latency_us),
+		    TIME_MAX_US);
 
 	sample = MAX(sample, 1);
 	if (!place->base_us) {
 		place->base_us = sample;
-		place->excess_us = sample;
+		place->place_latency_us = sample;
 	}
-	place->excess_us = steer_place_excess_us(place, now_us);
-	place->excess_us += sample / LEARN_DIVISOR;
-	place->excess_us -= place->excess_us / (LEARN_DIVISOR + 1);
-	place->learned_us = now_us;
+	place->place_latency_us = steer_place_latency_us(place, now_us);
+	place->place_latency_us += sample / LEARN_DIVISOR;
+	place->place_latency_us -=
+		place->place_latency_us / (LEARN_DIVISOR + 1);
+	place->latency_sampled_us = now_us;
 	learn_base(place, sample, now_us);
 }
 
@@ -77,26 +79,26 @@
 	uint32_t growth;
 	uint64_t slots = MAX(place->spec.slots, 1);
 
-	if (place->window_milli == WINDOW_OPEN ||
+	if (place->window_milli == WINDOW_UNLIMITED ||
 	    in_flight_milli * 2 < place->window_milli)
 		return;
 	growth = MILLI * MILLI / place->window_milli;
 	if (place->window_milli >= near)
 		growth = growth / WINDOW_NEAR_DIVISOR + 1;
 	place->window_milli += growth;
-	if (place->window_milli > slots * WINDOW_OPEN_FACTOR * MILLI)
-		place->window_milli = WINDOW_OPEN;
+	if (place->window_milli > slots * WINDOW_UNLIMITED_FACTOR * MILLI)
+		place->window_milli = WINDOW_UNLIMITED;
 }
 
 /* One cut for all refusals of one burst. */
 static void cut_window(struct steer_place *place, uint64_t now_us)
 {
 	uint64_t window = (own_in_flight(place) + 1ull) * MILLI;
-	uint64_t interval_us = 2 * MIN(place->spec.one_way_us, TIME_MOST_US);
+	uint64_t interval_us = 2 * MIN(place->spec.one_way_us, TIME_MAX_US);
 
 	interval_us += WINDOW_CUT_SLACK_US;
 	if (place->window_cut_us &&
-	    since(place->window_cut_us, now_us) < interval_us)
+	    elapsed_us(place->window_cut_us, now_us) < interval_us)
 		return;
 	window = MIN(window, place->window_milli);
 	place->window_refused_milli = window;
@@ -108,7 +110,7 @@
 static void learn_refusal(struct steer_place *place, uint64_t retry_after_us,
 			  uint64_t now_us)
 {
-	uint64_t closed_us = MIN(retry_after_us, CLOSED_MOST_US);
+	uint64_t closed_us = MIN(retry_after_us, CLOSED_MAX_US);
 
 	cut_window(place, now_us);
 	/*
@@ -117,42 +119,42 @@
 	 * to all, requests would take the long way to another region while
 	 * slots here fall idle.
 	 */
-	if (++place->refusals_in_row < CLOSED_REFUSALS_IN_ROW)
+	if (++place->consecutive_refusals < CLOSED_AFTER_REFUSALS)
 		return;
 	place->closed_until_us =
 		MAX(place->closed_until_us, now_us + closed_us);
 }
 
-static void fail_place(struct steer_place *place, uint64_t now_us)
+static void mark_failing(struct steer_place *place, uint64_t now_us)
 {
-	bool forget = !place->failing &&
-		      since(place->recovered_us, now_us) > BACKOFF_FORGET_US;
+	bool forget = !place->failing && elapsed_us(place->recovered_us,
+						    now_us) > BACKOFF_RESET_US;
 
 	if (forget || !place->backoff_us)
-		place->backoff_us = STEER_TRIAL_FIRST_US;
+		place->backoff_us = STEER_TRIAL_MIN_US;
 	else
 		place->backoff_us =
-			MIN(place->backoff_us * 2, STEER_TRIAL_MOST_US);
+			MIN(place->backoff_us * 2, STEER_TRIAL_MAX_US);
 	place->failing = true;
 	place->trial_sent = false;
-	place->return_us = 0;
+	place->slow_start_us = 0;
 	place->trial_at_us = now_us + place->backoff_us;
 }
 
 static void learn_failure(struct steer_place *place, uint64_t now_us)
 {
-	bool relapse = place->return_us || place->trial_sent;
+	bool relapse = place->slow_start_us || place->trial_sent;
 
-	place->failures_in_row++;
+	place->consecutive_failures++;
 	place->failure_permille +=
 		(1000 - place->failure_permille) / LEARN_DIVISOR;
 	if (place->failing && !place->trial_sent) {
 		place->failed_us = now_us;
 		return;
 	}
-	if (relapse || place->failures_in_row >= FAILURES_IN_ROW ||
-	    place->failure_permille >= FAILURE_MOST_PERMILLE)
-		fail_place(place, now_us);
+	if (relapse || place->consecutive_failures >= FAILING_AFTER_FAILURES ||
+	    place->failure_permille >= FAILURE_MAX_PERMILLE)
+		mark_failing(place, now_us);
 	place->failed_us = now_us;
 }
 
@@ -162,7 +164,7 @@
  */
 static void learn_alive(struct steer_place *place, uint64_t now_us)
 {
-	place->failures_in_row = 0;
+	place->consecutive_failures = 0;
 	place->failure_permille -= place->failure_permille / LEARN_DIVISOR;
 	if (!place->failing || !place->trial_sent)
 		return;
@@ -170,22 +172,23 @@
 	place->trial_sent = false;
 	place->failure_permille = 0;
 	place->recovered_us = now_us;
-	begin_return(place, now_us);
+	begin_slow_start(place, now_us);
 }
 
-static void halve_throttle(struct steer_place *place, uint64_t now_us)
+static void decay_throttle(struct steer_place *place, uint64_t now_us)
 {
-	uint64_t halvings = since(place->halved_us, now_us) / THROTTLE_HALF_US;
+	uint64_t halvings = elapsed_us(place->throttle_halved_us, now_us) /
+			    THROTTLE_HALF_LIFE_US;
 
 	if (!halvings)
 		return;
 	halvings = MIN(halvings, 31);
-	place->asked >>= halvings;
-	place->accepted >>= halvings;
-	place->halved_us = now_us;
+	place->throttle_requests >>= halvings;
+	place->throttle_accepts >>= halvings;
+	place->throttle_halved_us = now_us;
 }
 
-static void settle_in_flight(struct steer_place *place)
+static void count_finished(struct steer_place *place)
 {
 	/* Requests end about in the order in which they were sent. */
 	if (place->own_reported)
@@ -198,41 +201,43 @@
 static bool is_short_deadline(const struct steer_place *place,
 			      const struct steer_feedback *feedback)
 {
-	uint64_t excess_us =
-		since(2 * place->spec.one_way_us, feedback->latency_us);
+	uint64_t place_latency_us =
+		elapsed_us(2 * place->spec.one_way_us, feedback->latency_us);
 
 	return feedback->result == RESULT_TIMED_OUT &&
-	       !steer_is_slow(excess_us, place->base_us);
+	       !steer_is_slow(place_latency_us, place->base_us);
 }
 
 bool steer_place_throttled(struct steer_place *place, uint32_t chance,
 			   uint64_t now_us)
 {
-	uint64_t most = (uint64_t)place->accepted * THROTTLE_FACTOR;
+	uint64_t allowed = (uint64_t)place->throttle_accepts * THROTTLE_FACTOR;
 	uint64_t over;
 
-	halve_throttle(place, now_us);
-	if (place->asked < THROTTLE_LEAST_ASKED || place->asked <= most)
+	decay_throttle(place, now_us);
+	if (place->throttle_requests < THROTTLE_MIN_REQUESTS ||
+	    place->throttle_requests <= allowed)
 		return false;
-	over = (place->asked - most) * CHANCES / (place->asked + 1);
+	over = (place->throttle_requests - allowed) * CHANCE_RANGE /
+	       (place->throttle_requests + 1);
 	return chance < over;
 }
 
-void steer_place_turn_away(struct steer_place *place)
+void steer_place_count_throttled(struct steer_place *place)
 {
-	place->asked++;
+	place->throttle_requests++;
 }
 
-void steer_place_learn(struct steer_place *place,
-		       const struct steer_feedback *feedback, uint64_t now_us)
+void steer_place_record(struct steer_place *place,
+			const struct steer_feedback *feedback, uint64_t now_us)
 {
-	settle_in_flight(place);
-	halve_throttle(place, now_us);
-	place->asked++;
+	count_finished(place);
+	decay_throttle(place, now_us);
+	place->throttle_requests++;
 	switch (feedback->result) {
 	case RESULT_OK:
-		place->accepted++;
-		place->refusals_in_row = 0;
+		place->throttle_accepts++;
+		place->consecutive_refusals = 0;
 		learn_alive(place, now_us);
 		learn_latency(place, feedback->latency_us, now_us);
 		grow_window(place);
@@ -252,19 +257,19 @@
 	case RESULT_TIMED_OUT:
 	case RESULT_ATTEMPTS_FAILED:
 	case RESULT_UNREACHABLE:
-		place->accepted++;
+		place->throttle_accepts++;
 		if (!is_short_deadline(place, feedback))
 			learn_failure(place, now_us);
 		break;
 	default:
 		/* The request's own fault or a shift's cap: nothing learned. */
-		place->accepted++;
+		place->throttle_accepts++;
 		learn_alive(place, now_us);
 		break;
 	}
 }
 
-bool steer_is_slow(uint64_t excess_us, uint64_t base_us)
+bool steer_is_slow(uint64_t place_latency_us, uint64_t base_us)
 {
-	return excess_us > base_us * SLOW_FACTOR + SLOW_SLACK_US;
+	return place_latency_us > base_us * SLOW_FACTOR + SLOW_SLACK_US;
 }
--- a/packages/core/steer_shift.c
+++ b/packages/core/steer_shift.c
@@ -25,53 +25,57 @@
 	return MIN(STEER_RAMP_START_PERMILLE, shift->share_permille);
 }
 
-static void fall(struct steer_shift *shift, uint32_t ramp, uint64_t hold_us,
-		 uint64_t now_us)
+static void cut_ramp(struct steer_shift *shift, uint32_t ramp, uint64_t hold_us,
+		     uint64_t now_us)
 {
 	shift->ramp_permille = MAX(ramp, start_share(shift));
 	shift->held_until_us = now_us + hold_us;
-	shift->fell_us = now_us;
-	shift->answered = 0;
+	shift->cut_us = now_us;
+	shift->answered_in_step = 0;
 }
 
-static bool fell_just_now(const struct steer_shift *shift, uint64_t now_us)
+static bool was_just_cut(const struct steer_shift *shift, uint64_t now_us)
 {
-	return shift->fell_us && now_us < shift->fell_us + CUT_INTERVAL_US;
+	return shift->cut_us && now_us < shift->cut_us + CUT_INTERVAL_US;
 }
 
-static uint32_t grown(const struct steer_shift *shift)
+static uint32_t grown_ramp(const struct steer_shift *shift)
 {
 	uint32_t ramp = shift->ramp_permille;
-	uint32_t cautious = shift->cap_permille * CAUTIOUS_FROM_PERCENT / 100;
+	uint32_t cautious =
+		shift->cap_refused_permille * CAUTIOUS_FROM_PERCENT / 100;
 
-	if (!shift->cap_permille || ramp + ramp / GROWTH_DIVISOR <= cautious)
+	if (!shift->cap_refused_permille ||
+	    ramp + ramp / GROWTH_DIVISOR <= cautious)
 		ramp += ramp / GROWTH_DIVISOR;
 	else
 		ramp += CAUTIOUS_GROWTH_PERMILLE;
 	return MIN(ramp, shift->share_permille);
 }
 
-static bool has_room(struct steer_place *to, uint64_t now_us)
+static bool has_headroom(struct steer_place *to, uint64_t now_us)
 {
-	struct steer_ask ask = { .class_of = SERVICE_INTERACTIVE,
-				 .deadline_us = UINT64_MAX };
+	struct steer_place_request place_request = {
+		.class_of = SERVICE_INTERACTIVE, .deadline_us = UINT64_MAX
+	};
 	struct steer_estimate estimate;
 
-	steer_place_estimate(to, &ask, now_us, &estimate);
-	return estimate.standing == STEER_HEADROOM &&
+	steer_place_estimate(to, &place_request, now_us, &estimate);
+	return estimate.availability == STEER_HEADROOM &&
 	       estimate.spare >= to->report.slots / GROWTH_RESERVE_DIVISOR;
 }
 
-static void learn_excess(struct steer_shift *shift,
-			 const struct steer_place *to, uint64_t latency_us)
+static void learn_latency(struct steer_shift *shift,
+			  const struct steer_place *to, uint64_t latency_us)
 {
 	uint64_t link_us = 2 * to->spec.one_way_us;
 	uint64_t sample = latency_us > link_us ? latency_us - link_us : 0;
 
-	if (!shift->excess_us)
-		shift->excess_us = sample;
-	shift->excess_us += sample / LEARN_DIVISOR;
-	shift->excess_us -= shift->excess_us / (LEARN_DIVISOR + 1);
+	if (!shift->place_latency_us)
+		shift->place_latency_us = sample;
+	shift->place_latency_us += sample / LEARN_DIVISOR;
+	shift->place_latency_us -=
+		shift->place_latency_us / (LEARN_DIVISOR + 1);
 }
 
 /*
@@ -97,7 +101,7 @@
 static bool is_slow(const struct steer_shift *shift)
 {
 	return shift->base_us &&
-	       steer_is_slow(shift->excess_us, shift->base_us);
+	       steer_is_slow(shift->place_latency_us, shift->base_us);
 }
 
 void steer_shift_init(struct steer_shift *shift,
@@ -143,14 +147,14 @@
 	shift->stepped_us = now_us;
 	learn_base(shift, to, true);
 	if (to->failing || steer_place_is_silent(to, now_us))
-		fall(shift, 0, STEER_RAMP_HOLD_US, now_us);
-	else if (shift->answered && now_us >= shift->held_until_us &&
-		 has_room(to, now_us))
-		shift->ramp_permille = grown(shift);
-	shift->answered = 0;
+		cut_ramp(shift, 0, STEER_RAMP_HOLD_US, now_us);
+	else if (shift->answered_in_step && now_us >= shift->held_until_us &&
+		 has_headroom(to, now_us))
+		shift->ramp_permille = grown_ramp(shift);
+	shift->answered_in_step = 0;
 }
 
-bool steer_shift_open(struct steer_shift *shift, uint64_t now_us)
+bool steer_shift_cap_allows(struct steer_shift *shift, uint64_t now_us)
 {
 	if (!shift->cap_per_s || now_us < shift->closed_until_us)
 		return false;
@@ -162,35 +166,36 @@
 	steer_bucket_take(&shift->cap_bucket);
 }
 
-void steer_shift_learn(struct steer_shift *shift, const struct steer_place *to,
-		       const struct steer_feedback *feedback, uint64_t now_us)
+void steer_shift_record(struct steer_shift *shift, const struct steer_place *to,
+			const struct steer_feedback *feedback, uint64_t now_us)
 {
 	uint64_t retry_us = feedback->retry_after_us;
 	uint32_t ramp = shift->ramp_permille;
 
 	switch (feedback->result) {
 	case RESULT_OK:
-		shift->answered++;
+		shift->answered_in_step++;
 		learn_base(shift, to, false);
-		learn_excess(shift, to, feedback->latency_us);
-		if (is_slow(shift) && !fell_just_now(shift, now_us))
-			fall(shift, ramp / SLOW_CUT_DIVISOR, STEER_RAMP_HOLD_US,
-			     now_us);
+		learn_latency(shift, to, feedback->latency_us);
+		if (is_slow(shift) && !was_just_cut(shift, now_us))
+			cut_ramp(shift, ramp / SLOW_CUT_DIVISOR,
+				 STEER_RAMP_HOLD_US, now_us);
 		break;
 	case RESULT_SHIFT_CAP:
 		if (retry_us > STEER_RAMP_HOLD_US)
 			retry_us = STEER_RAMP_HOLD_US;
 		shift->closed_until_us = now_us + retry_us;
-		if (fell_just_now(shift, now_us))
+		if (was_just_cut(shift, now_us))
 			break;
-		shift->cap_permille = ramp;
-		fall(shift, ramp * CAP_CUT_PERCENT / 100, CAP_HOLD_US, now_us);
+		shift->cap_refused_permille = ramp;
+		cut_ramp(shift, ramp * CAP_CUT_PERCENT / 100, CAP_HOLD_US,
+			 now_us);
 		break;
 	case RESULT_OVERLOAD:
 	case RESULT_BACKEND_SHED:
-		if (!fell_just_now(shift, now_us))
-			fall(shift, ramp / SLOW_CUT_DIVISOR, STEER_RAMP_HOLD_US,
-			     now_us);
+		if (!was_just_cut(shift, now_us))
+			cut_ramp(shift, ramp / SLOW_CUT_DIVISOR,
+				 STEER_RAMP_HOLD_US, now_us);
 		break;
 	default:
 		break;
--- a/packages/core/steer_shift.h
+++ b/packages/core/steer_shift.h
@@ -34,14 +34,16 @@
 	uint32_t cap_per_s;
 
 	uint32_t ramp_permille; /* allowed by the ramp */
-	uint32_t cap_permille; /* share that the cap last refused; 0: none */
+	uint32_t cap_refused_permille; /* share that the cap last refused; 0:
+					  none */
 	uint64_t stepped_us;
 	uint64_t held_until_us; /* no growth before */
-	uint64_t fell_us;
+	uint64_t cut_us;
 	uint64_t closed_until_us; /* the cap's gate said when to come back */
-	uint64_t excess_us; /* learned of shifted requests, without the link */
+	uint64_t place_latency_us; /* learned of shifted requests, without the
+				      link */
 	uint64_t base_us; /* of the place when all is well; 0: not known */
-	uint32_t answered; /* in this step */
+	uint32_t answered_in_step; /* in this step */
 	struct steer_bucket cap_bucket;
 };
 
@@ -59,12 +61,12 @@
 		      uint64_t now_us);
 
 /* Whether the cap, as far as this node knows, lets one more through. */
-bool steer_shift_open(struct steer_shift *shift, uint64_t now_us);
+bool steer_shift_cap_allows(struct steer_shift *shift, uint64_t now_us);
 
 void steer_shift_send(struct steer_shift *shift);
 
-void steer_shift_learn(struct steer_shift *shift, const struct steer_place *to,
-		       const struct steer_feedback *feedback, uint64_t now_us);
+void steer_shift_record(struct steer_shift *shift, const struct steer_place *to,
+			const struct steer_feedback *feedback, uint64_t now_us);
 
 #ifdef __cplusplus
 }
--- a/packages/core/ticket.c
+++ b/packages/core/ticket.c
@@ -27,9 +27,9 @@
 	GHashTable *entries; /* id to entry; the entry owns the id */
 	GQueue kept; /* of entries whose answers are kept, oldest first */
 	uint64_t kept_bytes;
-	uint64_t most_bytes;
+	uint64_t max_bytes;
 	uint64_t oldest_epoch;
-	uint32_t most_entries;
+	uint32_t max_entries;
 };
 
 static char *append_number(char *end, uint64_t number)
@@ -57,7 +57,7 @@
 }
 
 /* A separator and a number without leading zeros; NULL if malformed. */
-static const char *take_number(const char *text, uint64_t *number)
+static const char *parse_number(const char *text, uint64_t *number)
 {
 	const char *digits = text + 1;
 	const char *end;
@@ -81,7 +81,7 @@
 	return g_ascii_isalnum(c) || c == '.' || c == '_' || c == '-';
 }
 
-static const char *take_name(const char *text, char *name)
+static const char *parse_name(const char *text, char *name)
 {
 	size_t len = 0;
 
@@ -120,7 +120,7 @@
 	g_free(entry);
 }
 
-static void unkeep_answer(struct ledger *ledger, struct entry *entry)
+static void release_kept_answer(struct ledger *ledger, struct entry *entry)
 {
 	g_queue_unlink(&ledger->kept, &entry->kept);
 	ledger->kept_bytes -= answer_bytes(&entry->answer);
@@ -131,9 +131,9 @@
 {
 	struct entry *entry;
 
-	while (ledger->kept_bytes > ledger->most_bytes) {
+	while (ledger->kept_bytes > ledger->max_bytes) {
 		entry = g_queue_peek_head(&ledger->kept);
-		unkeep_answer(ledger, entry);
+		release_kept_answer(ledger, entry);
 		entry->state = LEDGER_DROPPED;
 	}
 }
@@ -168,11 +168,11 @@
 static void remove_entry(struct ledger *ledger, struct entry *entry)
 {
 	if (entry->state == LEDGER_DONE)
-		unkeep_answer(ledger, entry);
+		release_kept_answer(ledger, entry);
 	g_hash_table_remove(ledger->entries, entry->id);
 }
 
-static enum result result_of_start(enum ledger_state state)
+static enum result start_result(enum ledger_state state)
 {
 	switch (state) {
 	case LEDGER_RUNNING:
@@ -190,7 +190,7 @@
 	return RESULT_OK;
 }
 
-static gboolean forget_one(void *id, void *data, void *context)
+static gboolean expire_entry(void *id, void *data, void *context)
 {
 	struct ledger *ledger = context;
 	struct entry *entry = data;
@@ -205,7 +205,7 @@
 	if (entry->state == LEDGER_RUNNING)
 		return FALSE;
 	if (entry->state == LEDGER_DONE)
-		unkeep_answer(ledger, entry);
+		release_kept_answer(ledger, entry);
 	return TRUE;
 }
 
@@ -224,16 +224,16 @@
 enum result ticket_parse(const char *text, struct ticket *ticket)
 {
 	struct ticket parsed = { 0 };
-	const char *end = take_name(text, parsed.node);
+	const char *end = parse_name(text, parsed.node);
 
 	if (end)
-		end = take_number(end, &parsed.incarnation);
+		end = parse_number(end, &parsed.incarnation);
 	if (end)
-		end = take_number(end, &parsed.epoch);
+		end = parse_number(end, &parsed.epoch);
 	if (end)
-		end = take_number(end, &parsed.issuer);
+		end = parse_number(end, &parsed.issuer);
 	if (end)
-		end = take_number(end, &parsed.sequence);
+		end = parse_number(end, &parsed.sequence);
 	if (!end || *end)
 		return RESULT_TICKET_MALFORMED;
 	*ticket = parsed;
@@ -247,9 +247,9 @@
 
 uint64_t ticket_oldest_epoch(uint64_t current_epoch)
 {
-	if (current_epoch < TICKET_EPOCHS_KEPT)
+	if (current_epoch < TICKET_EPOCHS_ACCEPTED)
 		return 0;
-	return current_epoch - TICKET_EPOCHS_KEPT + 1;
+	return current_epoch - TICKET_EPOCHS_ACCEPTED + 1;
 }
 
 bool ticket_epoch_accepted(uint64_t epoch, uint64_t current_epoch)
@@ -258,21 +258,21 @@
 	       epoch >= ticket_oldest_epoch(current_epoch);
 }
 
-struct ledger *ledger_new(uint32_t most_entries)
+struct ledger *ledger_new(uint32_t max_entries)
 {
 	struct ledger *ledger = g_new0(struct ledger, 1);
 
 	ledger->entries = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 						entry_free);
 	g_queue_init(&ledger->kept);
-	ledger->most_entries = most_entries;
-	ledger->most_bytes = LEDGER_MAX_ANSWER_BYTES;
+	ledger->max_entries = max_entries;
+	ledger->max_bytes = LEDGER_MAX_ANSWER_BYTES;
 	return ledger;
 }
 
-void ledger_limit_bytes(struct ledger *ledger, uint64_t most_bytes)
+void ledger_limit_bytes(struct ledger *ledger, uint64_t max_bytes)
 {
-	ledger->most_bytes = most_bytes;
+	ledger->max_bytes = max_bytes;
 	drop_oldest_answers(ledger);
 }
 
@@ -288,13 +288,13 @@
 			 const struct ledger_answer **answer)
 {
 	struct entry *entry = find(ledger, id);
-	uint32_t reserve = ledger->most_entries / FENCE_RESERVE_DIVISOR;
+	uint32_t reserve = ledger->max_entries / FENCE_RESERVE_DIVISOR;
 
 	*answer = NULL;
 	if (entry) {
 		if (entry->state == LEDGER_DONE)
 			*answer = &entry->answer;
-		return result_of_start(entry->state);
+		return start_result(entry->state);
 	}
 	/*
 	 * A ticket of a forgotten epoch may have run here: it would run a
@@ -303,7 +303,7 @@
 	 */
 	if (epoch < ledger->oldest_epoch)
 		return RESULT_OUTCOME_UNKNOWN;
-	if (ledger_count(ledger) >= ledger->most_entries - reserve)
+	if (ledger_count(ledger) >= ledger->max_entries - reserve)
 		return RESULT_OVERLOAD;
 	insert(ledger, id, epoch, LEDGER_RUNNING);
 	return RESULT_OK;
@@ -342,18 +342,18 @@
 		return entry->state;
 	}
 	if (epoch < ledger->oldest_epoch ||
-	    ledger_count(ledger) >= ledger->most_entries)
+	    ledger_count(ledger) >= ledger->max_entries)
 		return LEDGER_UNKNOWN;
 	insert(ledger, id, epoch, LEDGER_FENCED);
 	return LEDGER_ABSENT;
 }
 
-void ledger_forget(struct ledger *ledger, uint64_t oldest_epoch)
+void ledger_expire(struct ledger *ledger, uint64_t oldest_epoch)
 {
 	if (oldest_epoch <= ledger->oldest_epoch)
 		return;
 	ledger->oldest_epoch = oldest_epoch;
-	g_hash_table_foreach_remove(ledger->entries, forget_one, ledger);
+	g_hash_table_foreach_remove(ledger->entries, expire_entry, ledger);
 }
 
 uint32_t ledger_count(const struct ledger *ledger)
--- a/packages/core/ticket.h
+++ b/packages/core/ticket.h
@@ -21,7 +21,7 @@
 
 /* An epoch lasts this long; tickets of the last EPOCHS_KEPT are accepted. */
 #define TICKET_EPOCH_US (20 * 1000 * 1000ull)
-#define TICKET_EPOCHS_KEPT 10
+#define TICKET_EPOCHS_ACCEPTED 10
 
 struct ticket {
 	char node[NAME_SIZE]; /* where it runs */
@@ -87,10 +87,10 @@
 	uint64_t body_bytes;
 };
 
-struct ledger *ledger_new(uint32_t most_entries);
+struct ledger *ledger_new(uint32_t max_entries);
 
 /* Bound on the kept answers' bytes, LEDGER_MAX_ANSWER_BYTES at first. */
-void ledger_limit_bytes(struct ledger *ledger, uint64_t most_bytes);
+void ledger_limit_bytes(struct ledger *ledger, uint64_t max_bytes);
 
 void ledger_free(struct ledger *ledger);
 
@@ -128,7 +128,7 @@
  * any more. What still runs is forgotten when it ends. O(entries) when the
  * epoch has grown, nothing otherwise.
  */
-void ledger_forget(struct ledger *ledger, uint64_t oldest_epoch);
+void ledger_expire(struct ledger *ledger, uint64_t oldest_epoch);
 
 uint32_t ledger_count(const struct ledger *ledger);
 
--- a/packages/node/entry.c
+++ b/packages/node/entry.c
@@ -238,7 +238,7 @@
 	};
 
 	pthread_mutex_lock(&passage->service->steer_lock);
-	steer_learn(passage->service->steer, &feedback, now_us);
+	steer_record(passage->service->steer, &feedback, now_us);
 	pthread_mutex_unlock(&passage->service->steer_lock);
 }
 
@@ -428,7 +428,7 @@
 	enum result result;
 
 	pthread_mutex_lock(&node->ledger_lock);
-	ledger_forget(node->entry_ledger,
+	ledger_expire(node->entry_ledger,
 		      ticket_oldest_epoch(state_ticket_epoch(node)));
 	result = ledger_start(node->entry_ledger, text, ticket->epoch, &kept);
 	if (kept)
--- a/packages/node/hop.c
+++ b/packages/node/hop.c
@@ -278,7 +278,7 @@
 		return;
 	}
 	pthread_mutex_lock(&node->ledger_lock);
-	ledger_forget(node->hop_ledger, ticket_oldest_epoch(epoch));
+	ledger_expire(node->hop_ledger, ticket_oldest_epoch(epoch));
 	result = ledger_start(node->hop_ledger, id, epoch, &kept);
 	if (kept)
 		answer_from_kept(answer, kept);
--- a/packages/node/seats.c
+++ b/packages/node/seats.c
@@ -51,7 +51,7 @@
 static void want_seat(struct node *node, const struct config_shift *shift,
 		      uint32_t rank, bool own)
 {
-	uint32_t part = seat_part(shift->cap_per_s, rank, shift->seats);
+	uint32_t part = seat_quota(shift->cap_per_s, rank, shift->seats);
 	struct shift_seat *entry = find_seat(node, shift->id, rank);
 	char holder[NAME_SIZE + 20];
 
@@ -64,7 +64,7 @@
 		entry->seat = seat_new(holder, part);
 		g_ptr_array_add(node->seats, entry);
 	}
-	seat_set_part(entry->seat, part);
+	seat_set_quota(entry->seat, part);
 	entry->own = own;
 	entry->wanted = true;
 }
@@ -142,7 +142,7 @@
 	if (!platform_read(node->platform, SEATS_TABLE, key, &row, NULL))
 		return;
 	pthread_mutex_lock(&node->seats_lock);
-	seat_saw_row(seat, row.version, row.value, state_now_us(node));
+	seat_row_read(seat, row.version, row.value, state_now_us(node));
 	pthread_mutex_unlock(&node->seats_lock);
 	platform_row_release(&row);
 }
@@ -157,7 +157,7 @@
 			    step->expected_version, &version, NULL))
 		version = 0;
 	pthread_mutex_lock(&node->seats_lock);
-	seat_wrote(seat, version, sent_us, state_now_us(node));
+	seat_row_written(seat, version, sent_us, state_now_us(node));
 	pthread_mutex_unlock(&node->seats_lock);
 }
 
@@ -197,7 +197,7 @@
 	for (i = 0; i < node->seats->len; i++) {
 		struct shift_seat *entry = g_ptr_array_index(node->seats, i);
 
-		seat_give_up(entry->seat);
+		seat_release(entry->seat);
 	}
 	pthread_mutex_unlock(&node->seats_lock);
 }
--- a/tests/core/ledger_test.cc
+++ b/tests/core/ledger_test.cc
@@ -129,7 +129,7 @@
 	EXPECT_EQ(LEDGER_ABSENT, fence("t1"));
 	EXPECT_EQ(LEDGER_ABSENT, fence("t2"));
 	EXPECT_EQ(LEDGER_UNKNOWN, fence("t3"));
-	ledger_forget(ledger, 2);
+	ledger_expire(ledger, 2);
 	EXPECT_EQ(0u, ledger_count(ledger));
 	EXPECT_EQ(0u, ledger_bytes(ledger));
 	EXPECT_EQ(RESULT_OK, start("late", 2));
@@ -173,7 +173,7 @@
 	start("running");
 	start("old");
 	finish("old", LEDGER_DONE, "body");
-	ledger_forget(ledger, 2);
+	ledger_expire(ledger, 2);
 	EXPECT_EQ(RESULT_OUTCOME_UNKNOWN, start("old"));
 	EXPECT_EQ(LEDGER_UNKNOWN, fence("other"));
 	EXPECT_EQ(RESULT_IN_PROGRESS, start("running"));
--- a/tests/core/seat_test.cc
+++ b/tests/core/seat_test.cc
@@ -59,11 +59,11 @@
 
 		for (; step.action; step = next(seat, preferred)) {
 			if (step.action == SEAT_READ)
-				seat_saw_row(seat, row.version, row.text(),
-					     now_us);
+				seat_row_read(seat, row.version, row.text(),
+					      now_us);
 			else
-				seat_wrote(seat, row.write(step), now_us,
-					   now_us);
+				seat_row_written(seat, row.write(step), now_us,
+						 now_us);
 		}
 	}
 
@@ -91,9 +91,9 @@
 			uint32_t sum = 0;
 
 			for (uint32_t rank = 0; rank < count; rank++)
-				sum += seat_part(cap, rank, count);
+				sum += seat_quota(cap, rank, count);
 			EXPECT_EQ(cap, sum);
-			EXPECT_EQ(0u, seat_part(cap, count, count));
+			EXPECT_EQ(0u, seat_quota(cap, count, count));
 		}
 	}
 }
@@ -117,13 +117,13 @@
 	EXPECT_EQ(0, admit_all(a));
 	now_us += 1;
 	EXPECT_EQ(5, admit_all(a));
-	seat_set_part(a, 2);
+	seat_set_quota(a, 2);
 	now_us += SEAT_WINDOW_US + 1;
 	EXPECT_EQ(2, admit_all(a));
-	for (uint32_t part : { 0, 1, 3 })
-		seat_set_part(a, part);
+	for (uint32_t quota : { 0, 1, 3 })
+		seat_set_quota(a, quota);
 	EXPECT_EQ(1, admit_all(a));
-	seat_set_part(a, 9);
+	seat_set_quota(a, 9);
 	EXPECT_EQ(6, admit_all(a));
 	now_us += SEAT_WINDOW_US + 1;
 	EXPECT_EQ(9, admit_all(a));
@@ -134,12 +134,12 @@
 	struct seat_step step;
 
 	next(a, true);
-	seat_saw_row(a, 0, nullptr, now_us);
+	seat_row_read(a, 0, nullptr, now_us);
 	step = next(a, true);
 	ASSERT_EQ(SEAT_WRITE, step.action);
-	seat_wrote(a, row.write(step), now_us, now_us + 5 * second);
-	EXPECT_TRUE(seat_holds(a, now_us + SEAT_LEASE_US - 1));
-	EXPECT_FALSE(seat_holds(a, now_us + SEAT_LEASE_US));
+	seat_row_written(a, row.write(step), now_us, now_us + 5 * second);
+	EXPECT_TRUE(seat_is_held(a, now_us + SEAT_LEASE_US - 1));
+	EXPECT_FALSE(seat_is_held(a, now_us + SEAT_LEASE_US));
 }
 
 /*
@@ -153,16 +153,16 @@
 	uint64_t sent_us = now_us;
 
 	next(a, true);
-	seat_saw_row(a, 0, nullptr, now_us);
+	seat_row_read(a, 0, nullptr, now_us);
 	step = next(a, true);
 	row.write(step);
 	now_us += 4 * second;
-	seat_wrote(a, 0, sent_us, now_us);
-	EXPECT_FALSE(seat_holds(a, now_us));
+	seat_row_written(a, 0, sent_us, now_us);
+	EXPECT_FALSE(seat_is_held(a, now_us));
 	EXPECT_EQ(SEAT_READ, next(a, true).action);
-	seat_saw_row(a, row.version, row.text(), now_us);
-	EXPECT_TRUE(seat_holds(a, now_us));
-	EXPECT_FALSE(seat_holds(a, sent_us + SEAT_LEASE_US));
+	seat_row_read(a, row.version, row.text(), now_us);
+	EXPECT_TRUE(seat_is_held(a, now_us));
+	EXPECT_FALSE(seat_is_held(a, sent_us + SEAT_LEASE_US));
 	EXPECT_EQ(SEAT_WRITE, next(a, true).action);
 }
 
@@ -177,16 +177,16 @@
 	run(b, false);
 	now_us += SEAT_LEASE_US - 1;
 	EXPECT_EQ(5, admit_all(a));
-	now_us += SEAT_DRIFT_US;
+	now_us += SEAT_CLOCK_DRIFT_US;
 	run(b, false);
-	EXPECT_FALSE(seat_holds(b, now_us));
+	EXPECT_FALSE(seat_is_held(b, now_us));
 	now_us += 1;
 	run(b, false);
-	EXPECT_TRUE(seat_holds(b, now_us));
+	EXPECT_TRUE(seat_is_held(b, now_us));
 	EXPECT_EQ(0, admit_all(a));
 	EXPECT_EQ(0, admit_all(b));
 	run(a, true);
-	EXPECT_FALSE(seat_holds(a, now_us));
+	EXPECT_FALSE(seat_is_held(a, now_us));
 	now_us += SEAT_WINDOW_US;
 	EXPECT_EQ(5, admit_all(b));
 	EXPECT_EQ(0, admit_all(a));
@@ -201,16 +201,16 @@
 	run(a, true);
 	run(b, false);
 	run(c, false);
-	now_us += SEAT_LEASE_US + SEAT_DRIFT_US;
+	now_us += SEAT_LEASE_US + SEAT_CLOCK_DRIFT_US;
 	of_b = next(b, false);
 	of_c = next(c, false);
 	ASSERT_EQ(SEAT_WRITE, of_b.action);
 	ASSERT_EQ(SEAT_WRITE, of_c.action);
-	seat_wrote(c, row.write(of_c), now_us, now_us);
-	seat_wrote(b, row.write(of_b), now_us, now_us);
+	seat_row_written(c, row.write(of_c), now_us, now_us);
+	seat_row_written(b, row.write(of_b), now_us, now_us);
 	run(b, false);
-	EXPECT_TRUE(seat_holds(c, now_us));
-	EXPECT_FALSE(seat_holds(b, now_us));
+	EXPECT_TRUE(seat_is_held(c, now_us));
+	EXPECT_FALSE(seat_is_held(b, now_us));
 	seat_free(c);
 }
 
@@ -220,19 +220,19 @@
 	for (int i = 0; i < 200; i++) {
 		run_for(a, true, 100 * ms);
 		run(b, false);
-		ASSERT_TRUE(seat_holds(a, now_us));
+		ASSERT_TRUE(seat_is_held(a, now_us));
 	}
 	/* a's VM is replaced; b borrows the seat until the new node is there */
 	run_for(b, false, 8 * second);
-	ASSERT_TRUE(seat_holds(b, now_us));
+	ASSERT_TRUE(seat_is_held(b, now_us));
 	seat_free(a);
 	a = seat_new("a.2", 5);
 	for (int i = 0; i < 700; i++) {
 		run_for(b, false, 100 * ms);
 		run(a, true);
 	}
-	EXPECT_TRUE(seat_holds(a, now_us));
-	EXPECT_FALSE(seat_holds(b, now_us));
+	EXPECT_TRUE(seat_is_held(a, now_us));
+	EXPECT_FALSE(seat_is_held(b, now_us));
 }
 
 /*
@@ -244,17 +244,17 @@
 {
 	struct seat_step freeing;
 
-	run_for(a, false, SEAT_BORROW_US + 4 * second - 100 * ms);
-	ASSERT_TRUE(seat_holds(a, now_us));
+	run_for(a, false, SEAT_BORROW_MAX_US + 4 * second - 100 * ms);
+	ASSERT_TRUE(seat_is_held(a, now_us));
 	now_us += 100 * ms;
 	freeing = next(a, false);
 	ASSERT_STREQ("free", freeing.value);
-	seat_wrote(a, 0, now_us, now_us);
-	seat_saw_row(a, row.version, row.text(), now_us);
-	EXPECT_FALSE(seat_holds(a, now_us));
+	seat_row_written(a, 0, now_us, now_us);
+	seat_row_read(a, row.version, row.text(), now_us);
+	EXPECT_FALSE(seat_is_held(a, now_us));
 	EXPECT_NE(0u, row.write(freeing));
 	run(b, true);
-	EXPECT_TRUE(seat_holds(b, now_us));
+	EXPECT_TRUE(seat_is_held(b, now_us));
 	EXPECT_EQ(0, admit_all(a));
 }
 
@@ -269,20 +269,20 @@
 
 	run(a, true);
 	run(b, false);
-	now_us += SEAT_LEASE_US + SEAT_DRIFT_US;
+	now_us += SEAT_LEASE_US + SEAT_CLOCK_DRIFT_US;
 	for (int i = 0; i < 20; i++) {
 		struct seat_step step = next(b, false);
 
 		ASSERT_EQ(SEAT_WRITE, step.action);
 		if (i == 0)
 			first = step;
-		seat_wrote(b, 0, now_us, now_us);
-		seat_saw_row(b, row.version, row.text(), now_us);
+		seat_row_written(b, 0, now_us, now_us);
+		seat_row_read(b, row.version, row.text(), now_us);
 	}
 	EXPECT_NE(0u, row.write(first));
-	seat_wrote(b, 0, now_us, now_us);
+	seat_row_written(b, 0, now_us, now_us);
 	run(b, false);
-	EXPECT_TRUE(seat_holds(b, now_us));
+	EXPECT_TRUE(seat_is_held(b, now_us));
 	EXPECT_EQ(0, admit_all(b));
 	now_us += SEAT_WINDOW_US;
 	EXPECT_EQ(5, admit_all(b));
@@ -292,7 +292,7 @@
 {
 	run(a, true);
 	EXPECT_EQ(5, admit_all(a));
-	seat_give_up(a);
+	seat_release(a);
 	EXPECT_EQ(0, admit_all(a));
 	run(a, true);
 	EXPECT_STREQ("free", row.text());
@@ -318,7 +318,7 @@
 
 TEST_P(SeatHistory, NoSecondHoldsMoreThanThePart)
 {
-	const uint32_t part = 4;
+	const uint32_t quota = 4;
 	const double rates[] = { 1.0, 0.95, 0.88 };
 	std::mt19937 random((unsigned int)GetParam());
 	std::vector<struct seat *> seats;
@@ -330,7 +330,7 @@
 	int last_holder = -1;
 
 	for (const char *holder : { "a.1", "b.1", "c.1" })
-		seats.push_back(seat_new(holder, part));
+		seats.push_back(seat_new(holder, quota));
 	for (uint64_t true_us = second; true_us < 300 * second;
 	     true_us += 20 * ms) {
 		for (size_t i = 0; i < held_up.size(); i++) {
@@ -358,8 +358,8 @@
 					true_us + random() % (20 * second);
 			seat_next_step(seats[i], i == 0, now_us, &step);
 			if (step.action == SEAT_READ && random() % 4)
-				seat_saw_row(seats[i], row.version, row.text(),
-					     now_us);
+				seat_row_read(seats[i], row.version, row.text(),
+					      now_us);
 			if (step.action != SEAT_WRITE)
 				continue;
 			switch (random() % 8) {
@@ -367,21 +367,21 @@
 				held_up.push_back(
 					{ true_us + random() % (9 * second),
 					  step });
-				seat_wrote(seats[i], 0, now_us, now_us);
+				seat_row_written(seats[i], 0, now_us, now_us);
 				break;
 			case 1: /* its answer is lost */
 				row.write(step);
-				seat_wrote(seats[i], 0, now_us, now_us);
+				seat_row_written(seats[i], 0, now_us, now_us);
 				break;
 			default:
-				seat_wrote(seats[i], row.write(step), now_us,
-					   now_us);
+				seat_row_written(seats[i], row.write(step),
+						 now_us, now_us);
 			}
 		}
 		while (!admitted.empty() &&
 		       admitted.front() + SEAT_WINDOW_US < true_us)
 			admitted.pop_front();
-		ASSERT_LE(admitted.size(), part) << "at " << true_us;
+		ASSERT_LE(admitted.size(), quota) << "at " << true_us;
 	}
 	EXPECT_GT(holders, 3);
 	for (struct seat *seat : seats)
--- a/tests/core/steer_test.cc
+++ b/tests/core/steer_test.cc
@@ -110,7 +110,7 @@
 						   result, latency_us,
 						   retry_after_us };
 
-		steer_learn(steer, &feedback, now_us);
+		steer_record(steer, &feedback, now_us);
 	}
 
 	/* Answered as fast as the place can. */
@@ -274,7 +274,7 @@
 		uint64_t age_us;
 		bool at_home;
 		enum service_class class_of;
-		enum steer_standing standing;
+		enum steer_availability availability;
 		uint32_t spare;
 	} cases[] = {
 		{ "idle", 16, 0, 0, true, SERVICE_INTERACTIVE, STEER_HEADROOM,
@@ -285,9 +285,9 @@
 		  SERVICE_BACKGROUND, STEER_HEADROOM, 12 },
 		{ "more slots than configured", 900, 4, 0, true,
 		  SERVICE_INTERACTIVE, STEER_HEADROOM, 12 },
-		{ "as old as can be", 16, 0, STEER_FRESH_US, true,
+		{ "as old as can be", 16, 0, STEER_REPORT_MAX_AGE_US, true,
 		  SERVICE_INTERACTIVE, STEER_HEADROOM, 8 },
-		{ "the last slot, old", 16, 15, STEER_FRESH_US, true,
+		{ "the last slot, old", 16, 15, STEER_REPORT_MAX_AGE_US, true,
 		  SERVICE_INTERACTIVE, STEER_HEADROOM, 1 },
 		{ "full", 16, 16, 0, true, SERVICE_INTERACTIVE, STEER_QUEUE,
 		  0 },
@@ -301,14 +301,17 @@
 		struct steer_place_spec spec = { "p", 0, 0, 0, 16, false, 0 };
 		struct gate_summary summary = { c.reported_slots, c.load, 0,
 						service_us, 0 };
-		struct steer_ask ask = { c.class_of, c.at_home, 102 * second };
+		struct steer_place_request place_request = { c.class_of,
+							     c.at_home,
+							     102 * second };
 		struct steer_estimate estimate;
 		struct steer_place place;
 
 		steer_place_init(&place, &spec, 100 * second);
 		steer_place_report(&place, &summary, c.age_us, 100 * second);
-		steer_place_estimate(&place, &ask, 100 * second, &estimate);
-		EXPECT_EQ(c.standing, estimate.standing) << c.what;
+		steer_place_estimate(&place, &place_request, 100 * second,
+				     &estimate);
+		EXPECT_EQ(c.availability, estimate.availability) << c.what;
 		EXPECT_EQ(c.spare, estimate.spare) << c.what;
 	}
 }
@@ -436,7 +439,7 @@
 {
 	only(HOME);
 	run(100, ms, { 0 });
-	now_us += STEER_RETURN_AFTER_US - 500 * ms;
+	now_us += STEER_SLOW_START_AFTER_US - 500 * ms;
 	report(HOME, 0);
 	for (uint32_t i = 0; i < slots; i++)
 		EXPECT_EQ(STEER_HOME, choose().rule) << i;
@@ -467,7 +470,7 @@
 	only(HOME);
 	fail_home();
 	EXPECT_EQ(STEER_REFUSED, choose().rule);
-	now_us += STEER_TRIAL_FIRST_US;
+	now_us += STEER_TRIAL_MIN_US;
 	report(HOME, 0);
 	answer(choose());
 	for (uint32_t step = 0; step < 4; step++) {
@@ -477,7 +480,7 @@
 		EXPECT_EQ(1u << step, sent.size());
 		for (const struct steer_choice &choice : sent)
 			answer(choice);
-		now_us += STEER_STEP_US;
+		now_us += STEER_SLOW_START_STEP_US;
 	}
 }
 
@@ -534,7 +537,7 @@
 {
 	only(HOME);
 	fail_home();
-	now_us += STEER_TRIAL_MOST_US;
+	now_us += STEER_TRIAL_MAX_US;
 	EXPECT_EQ(STEER_REFUSED, choose({}, SERVICE_NON_IDEMPOTENT).rule);
 	report(HOME, 0);
 	EXPECT_EQ(HOME, choose({}, SERVICE_NON_IDEMPOTENT).place);
@@ -768,7 +771,8 @@
 		{ "overload", RESULT_OVERLOAD, ms, 0, 200 },
 		{ "cap", RESULT_SHIFT_CAP, ms, 0, 560 },
 		{ "dead", RESULT_CONNECT_FAILED, ms, 0, 20 },
-		{ "silent", RESULT_OK, far_us, 2 * STEER_FRESH_US, 20 },
+		{ "silent", RESULT_OK, far_us, 2 * STEER_REPORT_MAX_AGE_US,
+		  20 },
 	};
 
 	for (const auto &c : cases) {
--- a/tests/core/ticket_test.cc
+++ b/tests/core/ticket_test.cc
@@ -102,8 +102,8 @@
 		bool accepted;
 	} cases[] = {
 		{ 0, 0, true },
-		{ 0, TICKET_EPOCHS_KEPT - 1, true },
-		{ 0, TICKET_EPOCHS_KEPT, false },
+		{ 0, TICKET_EPOCHS_ACCEPTED - 1, true },
+		{ 0, TICKET_EPOCHS_ACCEPTED, false },
 		{ 91, 100, true },
 		{ 90, 100, false },
 		{ 101, 100, false },
--- a/tests/node/hop_test.cc
+++ b/tests/node/hop_test.cc
@@ -120,7 +120,7 @@
 		{ "never issued", "n1", 0, 5, 0, RESULT_TICKET_MALFORMED },
 		{ "good; nothing listens at the backend server", "n1", 0, 0, 0,
 		  RESULT_CONNECT_FAILED },
-		{ "forgotten", "n1", 0, 0, TICKET_EPOCHS_KEPT + 1,
+		{ "forgotten", "n1", 0, 0, TICKET_EPOCHS_ACCEPTED + 1,
 		  RESULT_OUTCOME_UNKNOWN },
 	};
 
