--- a/packages/core/steer.c
+++ b/packages/core/steer.c
@@ -8,18 +8,18 @@
 
 #define PERMILLE 1000u
 
-/* Places this much over the least expected time share the requests. */
+/* Places this close to the least expected time share the requests. */
 #define BAND_DIVISOR 4
 #define BAND_SLACK_US 1000ull
 
-/* Places that the throttle may turn one request away from. */
+/* Places that may be skipped for one request because of the throttle. */
 #define THROTTLED_MAX 4
 
-/* Refusals where no single place says when to come back. */
+/* Retry-after of refusals that no single place names a time for. */
 #define RETRY_DEFAULT_US (1000 * 1000ull)
 #define RETRY_THROTTLED_US (200 * 1000ull)
 
-/* Each random decision of a request mixes its draw with a salt of its own. */
+/* Each random decision hashes the request's draw with another salt. */
 enum salt {
 	SALT_SHIFT = 1,
 	SALT_SPREAD,
@@ -27,25 +27,24 @@
 };
 
 struct steer {
-	struct steer_place *places; /* by one-way time */
-	struct steer_estimate *estimates; /* of the places, while choosing */
-	uint32_t *position; /* by place; CONFIG_NONE where there is none */
+	struct steer_place *places; /* sorted by one_way_us */
+	struct steer_estimate *estimates; /* scratch, one for each place */
+	uint32_t *position; /* in places, by place index; or CONFIG_NONE */
 	struct steer_shift *shifts;
 	uint32_t place_count;
 	uint32_t position_count;
 	uint32_t shift_count;
 };
 
-/* One choice while it is made. */
+/* State of one choice in progress. */
 struct selection {
 	const struct steer_request *request;
 	uint64_t now_us;
-	uint32_t estimated_count; /* places estimated, the nearest ones */
-	uint32_t throttled_count; /* positions the throttle turned it away from
-				   */
+	uint32_t estimated_count; /* nearest places, with valid estimates */
+	uint32_t throttled_count; /* places skipped by the throttle */
 	uint32_t throttled_positions[THROTTLED_MAX];
-	enum result reason; /* of a refusal; the most telling so far */
-	uint64_t retry_after_us;
+	enum result reason; /* of highest refusal_priority() so far */
+	uint64_t retry_after_us; /* least so far; 0: none */
 };
 
 static const char *const rule_names[STEER_RULE_COUNT] = {
@@ -65,7 +64,7 @@
 	return mixed ^ mixed >> 16;
 }
 
-/* A number below bound, even over the draws. */
+/* A number below bound, evenly distributed over the draws. */
 static uint32_t draw_below(uint32_t draw, enum salt salt, uint32_t bound)
 {
 	return (uint32_t)((uint64_t)mix(draw, salt) * bound >> 32);
@@ -96,7 +95,7 @@
 	return CONFIG_NONE;
 }
 
-/* What was learned before of the place that spec describes, or NULL. */
+/* The existing state of the place that spec describes, or NULL. */
 static const struct steer_place *
 find_previous(const struct steer *steer, const struct steer_place_spec *spec)
 {
@@ -122,7 +121,7 @@
 	return 0;
 }
 
-/* Places behind one link take their requests out of one bucket. */
+/* Places behind the same link share one token bucket. */
 static void share_links(struct steer *steer)
 {
 	struct steer_place *place;
@@ -179,7 +178,7 @@
 	return false;
 }
 
-/* How much a reason tells the caller, where places have several. */
+/* Where places differ, the reason that tells the caller most is returned. */
 static int refusal_priority(enum result reason)
 {
 	switch (reason) {
@@ -204,7 +203,7 @@
 		selection->retry_after_us = retry_after_us;
 }
 
-/* A shift from the request's home to the place whose cap is used up. */
+/* Whether a shift from the request's home to the place has reached its cap. */
 static bool shift_cap_reached(struct steer *steer, struct selection *selection,
 			      uint32_t place)
 {
@@ -252,8 +251,9 @@
 }
 
 /*
- * Estimate the places from the nearest on; those whose link alone takes longer
- * than the best with headroom can't come near it. Returns that best time.
+ * Estimate the places, nearest first, until the round trip alone takes longer
+ * than the least expected time found so far and its band. Returns the least
+ * expected time of the places with this availability.
  */
 static uint64_t estimate_nearby(struct steer *steer,
 				struct selection *selection,
@@ -289,8 +289,9 @@
 }
 
 /*
- * Spread over the places near the least time by spare headroom: entry nodes
- * that share a stale view would all pick the one best place and fill it.
+ * Pick at random among the places close to the least time, weighted by spare
+ * headroom. Otherwise all entry nodes, which act on the same slightly old
+ * reports, would pick the one best place and overload it.
  */
 static uint32_t pick_within_band(const struct steer *steer,
 				 const struct selection *selection,
@@ -319,7 +320,7 @@
 	return CONFIG_NONE;
 }
 
-/* Home without a scan: it has headroom and answers in about its base time. */
+/* Home, if it has headroom and isn't slow; estimates no other place. */
 static uint32_t pick_home(struct steer *steer, struct selection *selection)
 {
 	uint32_t home = find_position(steer, selection->request->home);
@@ -340,7 +341,7 @@
 	return steer_is_slow(place_latency_us, base_us) ? CONFIG_NONE : home;
 }
 
-/* The least expected time of the places seen that have a queue. */
+/* Least expected time of the estimated places that would queue the request. */
 static uint64_t least_queue_us(const struct steer *steer,
 			       const struct selection *selection)
 {
@@ -358,9 +359,9 @@
 }
 
 /*
- * The place with headroom and the least time, or home where waiting for a slot
- * there takes less than the way to another. Where home takes nothing now, a
- * queue next to it may be the shorter way, too.
+ * The place with headroom and the least time, or home if queueing there takes
+ * no longer. If home is closed, a place with a queue is picked instead if
+ * that takes no longer.
  */
 static uint32_t pick_least_time(struct steer *steer,
 				struct selection *selection)
@@ -385,7 +386,7 @@
 	return pick_within_band(steer, selection, STEER_QUEUE, queue_us);
 }
 
-/* Whether the way to the place takes longer than a request does at home. */
+/* Whether the round trip to the place exceeds the base latency at home. */
 static bool is_far(const struct steer *steer, uint32_t position, uint32_t home)
 {
 	uint64_t link_us = 2 * steer->places[position].spec.one_way_us;
@@ -394,10 +395,10 @@
 }
 
 /*
- * No place is known to have headroom: the shortest queue, or one unheard of. An
- * overloaded home that sends to far queues makes each request later and
- * lightens nobody's load, because the far places send theirs here: refused
- * instead, its caller comes back when there is room.
+ * No place is known to have headroom: pick the shortest queue, or a place that
+ * never reported. If home is overloaded, nothing goes to far queues: the far
+ * places would send their requests here in turn, which delays all of them and
+ * relieves no place. The request is refused so that the caller retries later.
  */
 static uint32_t pick_last_resort(const struct steer *steer,
 				 const struct selection *selection)
@@ -437,7 +438,10 @@
 	return CONFIG_NONE;
 }
 
-/* A request that was refused elsewhere isn't shifted: it goes home. */
+/*
+ * The receiving place of a shift, if the request falls in its share and there
+ * is headroom. A request that was already tried at a place isn't shifted.
+ */
 static uint32_t pick_shift(struct steer *steer, struct selection *selection)
 {
 	uint32_t shift;
@@ -456,7 +460,7 @@
 	return position;
 }
 
-/* The best place by the rules in turn, not yet throttled. */
+/* The place by the first rule that yields one; the throttle isn't applied. */
 static uint32_t pick(struct steer *steer, struct selection *selection,
 		     enum steer_rule *rule)
 {
@@ -478,8 +482,8 @@
 }
 
 /*
- * Pick again while the throttle turns the request away: a place that keeps
- * refusing costs a hop each time, so most of what it would refuse stays here.
+ * Pick places until one passes the throttle. Each refusal by a place costs a
+ * hop, so most requests that a place would refuse aren't sent there.
  */
 static uint32_t pick_unthrottled(struct steer *steer,
 				 struct selection *selection,
@@ -523,7 +527,7 @@
 		choice->shift = find_shift(steer, home, choice->place);
 }
 
-/* The choice, with its position in the places; nothing is accounted yet. */
+/* Make the choice without accounting for it; returns the place's position. */
 static uint32_t decide(struct steer *steer, struct selection *selection,
 		       struct steer_choice *choice)
 {
