--- a/packages/core/steer_place.c
+++ b/packages/core/steer_place.c
@@ -3,30 +3,31 @@
 #include <glib.h>
 #include <string.h>
 
-/* Without new samples the learned latency nears the base by half in this. */
+/* Time in which latency above the base halves without new samples. */
 #define LATENCY_HALF_LIFE_US (2 * MICRO)
 
 #define SLOW_START_MAX_STEPS 20
 
+/* A closed place still gets a request once in this time. */
 #define CLOSED_TRIAL_INTERVAL_US (1 * MICRO)
 
-/* Part of the configured slots presumed free where nothing is known. */
+/* Fraction of the configured slots used while no report has come. */
 #define PRESUMED_DIVISOR 8
-/* Part of the slots kept free, once or twice. */
+/* Fraction of the slots in each reserve, see reserved_slots(). */
 #define RESERVE_DIVISOR 8
-/* A request joins a queue that takes at most this part of its time. */
+/* A queue may take at most this fraction of a request's remaining time. */
 #define QUEUE_TIME_DIVISOR 2
 
 #define RETRY_MIN_US (20 * 1000ull)
 #define RETRY_MAX_US (5 * MICRO)
-/* A place without usable slots: its backend servers left or are down. */
+/* For a place without usable slots: its backend servers are gone or down. */
 #define NO_SLOTS_RETRY_US (1 * MICRO)
 
 static uint32_t usable_slots(const struct steer_place *place)
 {
 	uint32_t slots = place->report.slots;
 
-	/* A report of more slots than were configured is wrong. */
+	/* A report of more slots than are configured is wrong. */
 	if (place->spec.slots && slots > place->spec.slots)
 		slots = place->spec.slots;
 	return slots;
@@ -37,7 +38,7 @@
 	return elapsed_us(place->report_made_us, now_us);
 }
 
-/* Advance the ring of sent requests to the present bucket. */
+/* Advance the ring of sent requests to the current bucket. */
 static void advance_sent(struct steer_place *place, uint64_t now_us)
 {
 	uint64_t bucket = now_us / STEER_SENT_BUCKET_US;
@@ -56,7 +57,7 @@
 	}
 }
 
-/* Requests sent at that moment or later, as far as the ring goes back. */
+/* Estimated requests sent since then_us, as far as the ring goes back. */
 static uint32_t sent_since(struct steer_place *place, uint64_t then_us,
 			   uint64_t now_us)
 {
@@ -74,7 +75,7 @@
 		count = place->sent[bucket % STEER_SENT_BUCKETS];
 		begin_us = bucket * STEER_SENT_BUCKET_US;
 		end_us = MIN(begin_us + STEER_SENT_BUCKET_US, now_us);
-		/* Of the bucket that holds the moment, the part after it. */
+		/* Of the bucket that holds then_us, the fraction after it. */
 		if (then_us > begin_us && end_us > begin_us)
 			count = count * elapsed_us(then_us, end_us) /
 				(end_us - begin_us);
@@ -84,9 +85,9 @@
 }
 
 /*
- * Requests at the place. A report that knows of fewer than this node itself has
- * there is wrong (a frozen reporter, one that always says zero): the own count
- * holds then.
+ * Requests in flight or waiting at the place. A report with fewer than this
+ * node's own is wrong (a reporter that hangs or always reports zero), so the
+ * own count is the lower limit.
  */
 static uint64_t requests_at_place(const struct steer_place *place)
 {
@@ -125,7 +126,7 @@
 	return place->base_us + (over >> halvings);
 }
 
-/* Most requests in flight that health and window allow. */
+/* Limit on own requests in flight by window and slow start. */
 static uint32_t max_in_flight(const struct steer_place *place, uint64_t now_us)
 {
 	uint32_t limit = place->window_milli / MILLI;
@@ -140,7 +141,7 @@
 	return limit;
 }
 
-/* End a stepped return once its steps bound nothing. */
+/* End slow start once its limit has reached the configured slots. */
 static void end_slow_start(struct steer_place *place, uint64_t now_us)
 {
 	uint64_t steps;
@@ -188,8 +189,9 @@
 }
 
 /*
- * A trial costs its caller time when it fails, and a non-idempotent one may end
- * with an unknown outcome; for these the place must have been heard of again.
+ * A trial that fails costs its caller time, and if non-idempotent it may end
+ * with an unknown outcome. So non-idempotent requests are trials only after the
+ * place has reported since its last failure.
  */
 static bool trial_allowed(const struct steer_place *place,
 			  enum service_class class_of, uint64_t now_us)
@@ -200,7 +202,7 @@
 	       (place->reported && place->report_made_us > place->failed_us);
 }
 
-/* Health, refusals, window: false and a closed estimate where they forbid. */
+/* Checks health, closed and window; closes the estimate on false. */
 static bool passes_health_and_window(const struct steer_place *place,
 				     enum service_class class_of,
 				     uint64_t now_us,
@@ -229,7 +231,7 @@
 	return true;
 }
 
-/* Silence and link: the same. */
+/* Checks link and silence; closes the estimate on false. */
 static bool passes_rate_limits(struct steer_place *place, uint64_t now_us,
 			       struct steer_estimate *estimate)
 {
@@ -251,7 +253,7 @@
 	return false;
 }
 
-/* Why it would come late: because of the queue, or even without one. */
+/* Why an answer would be late: deadline too short, or queue too long. */
 static enum result late_reason(const struct steer_place *place,
 			       uint64_t time_us)
 {
@@ -261,7 +263,7 @@
 	return least_us > time_us ? RESULT_DEADLINE_TOO_SHORT : RESULT_OVERLOAD;
 }
 
-/* Headroom where nothing was ever reported: a guess, so never HEADROOM. */
+/* Without any report the free slots are a guess, so never STEER_HEADROOM. */
 static void estimate_unreported(const struct steer_place *place,
 				struct steer_estimate *estimate)
 {
@@ -275,9 +277,9 @@
 }
 
 /*
- * What isn't headroom to this request. Requests from elsewhere that filled a
- * place to the brim would leave its own callers to queue, and entry nodes that
- * fill it by the same report overshoot together: the reserve takes that up.
+ * Slots that don't count as headroom for this request. If requests from other
+ * places filled the place, its own callers would have to queue. The reserve
+ * also absorbs what entry nodes that act on the same report send too many.
  */
 static uint64_t reserved_slots(uint64_t slots,
 			       const struct steer_place_request *request)
@@ -292,8 +294,9 @@
 }
 
 /*
- * Headroom by the report. Other entry nodes see the same report and fill the
- * place meanwhile, so the older it is the less of it is taken as free.
+ * Headroom by the report. Other entry nodes send by the same report meanwhile,
+ * so the older it is, the fewer of the free slots are counted (half of them at
+ * STEER_REPORT_MAX_AGE_US).
  */
 static void estimate_reported(const struct steer_place *place,
 			      const struct steer_place_request *request,
@@ -340,8 +343,8 @@
 			   const struct steer_place_spec *spec, uint64_t now_us)
 {
 	/*
-	 * Feedback of what is in flight will name the old index and never
-	 * reach this place: counted on, it would look busy for ever.
+	 * Feedback for requests in flight names the old index and never
+	 * reaches this place, so they would be counted for ever.
 	 */
 	if (place->spec.place != spec->place) {
 		place->own_reported = 0;
@@ -368,16 +371,16 @@
 
 	if (place->reported && made_us <= place->report_made_us)
 		return;
-	/* What was on its way when the report was made isn't in it. */
+	/* Requests still on the link when the report was made aren't in it. */
 	unreported = sent_since(place, elapsed_us(link_us, made_us), now_us);
 	if (unreported > in_flight)
 		unreported = in_flight;
 	place->own_unreported = unreported;
 	place->own_reported = in_flight - unreported;
 	/*
-	 * Everyone sees a place come back at the same moment and would fill it
-	 * at once, while its caches are cold: it is filled in steps. A few
-	 * reports that were lost are no such return.
+	 * All entry nodes see a place come back at the same time and would
+	 * fill it at once while its caches are cold, so it gets a slow start.
+	 * A gap of a few lost reports is too short for that.
 	 */
 	if (place->reported && elapsed_us(place->report_made_us, made_us) >=
 				       STEER_SLOW_START_AFTER_US)
--- a/packages/core/steer_place_internal.h
+++ b/packages/core/steer_place_internal.h
@@ -1,7 +1,7 @@
 /*
- * steer_place_parts - what steer_place.c and steer_place_record.c share
+ * steer_place_internal - shared by steer_place.c and steer_place_record.c only
  *
- * Internal to these two. Times are microseconds.
+ * Times are microseconds.
  */
 #ifndef CORE_STEER_PLACE_INTERNAL_H
 #define CORE_STEER_PLACE_INTERNAL_H
@@ -14,13 +14,13 @@
 #define MICRO 1000000ull
 #define MILLI 1000u
 
-/* Whatever a report or a clock says, no single time counts for more. */
+/* Times from reports and measurements are limited to this. */
 #define TIME_MAX_US (60 * MICRO)
 
-/* A window that bounds nothing. */
+/* Size of a window that limits nothing. */
 #define WINDOW_UNLIMITED UINT32_MAX
 
-/* Time that has passed; 0 where then is later. */
+/* to_us - from_us, or 0 if that is negative. */
 static inline uint64_t elapsed_us(uint64_t from_us, uint64_t to_us)
 {
 	return to_us > from_us ? to_us - from_us : 0;
@@ -36,7 +36,7 @@
 	place->slow_start_us = MAX(now_us, 1);
 }
 
-/* Learned latency without the link; it nears the base without new samples. */
+/* Learned place latency; without new samples it decays towards the base. */
 uint64_t steer_place_latency_us(const struct steer_place *place,
 				uint64_t now_us);
 
--- a/packages/core/steer_place_record.c
+++ b/packages/core/steer_place_record.c
@@ -2,7 +2,7 @@
 
 /* Weight of the newest sample in learned averages. */
 #define LEARN_DIVISOR 8
-/* The base rises by this part of itself in each interval at most. */
+/* The base latency rises by at most this fraction in each interval. */
 #define BASE_RISE_DIVISOR 64
 #define BASE_RISE_INTERVAL_US (1 * MICRO)
 #define SLOW_FACTOR 2
@@ -10,16 +10,16 @@
 
 #define FAILING_AFTER_FAILURES 3
 #define FAILURE_MAX_PERMILLE 500
-/* Healthy for so long, a place starts with short trial intervals again. */
+/* After this long without failing, trials start at the shortest interval. */
 #define BACKOFF_RESET_US (30 * MICRO)
 
 #define WINDOW_CUT_PERCENT 70
-/* Refusals of what was sent before a cut come back within link and this. */
+/* Requests sent before a cut are refused within a round trip plus this. */
 #define WINDOW_CUT_SLACK_US (10 * 1000ull)
-/* Near the width that was refused, growth is this many times slower. */
+/* From this percentage of the refused size on, growth is slower. */
 #define WINDOW_NEAR_PERCENT 90
 #define WINDOW_NEAR_DIVISOR 8
-/* A window this many times the slots wide bounds nothing. */
+/* A window larger than this many times the slots becomes unlimited. */
 #define WINDOW_UNLIMITED_FACTOR 4
 
 #define CLOSED_MAX_US (5 * MICRO)
@@ -31,7 +31,7 @@
 #define THROTTLE_HALF_LIFE_US (2 * MICRO)
 #define CHANCE_RANGE 65536ull
 
-/* The base follows samples down at once and up slowly. */
+/* The base latency follows samples down quickly and up slowly. */
 static void learn_base(struct steer_place *place, uint64_t sample,
 		       uint64_t now_us)
 {
@@ -68,9 +68,10 @@
 }
 
 /*
- * An answer came while the window was in use: one more in a round trip, or in
- * several where it nears what was refused. A place of few slots would else
- * refuse every other request: the window grows past it in one round trip.
+ * An answer came while the window was at least half used: grow it by one each
+ * round trip, or more slowly near the size that was refused. At a place with
+ * few slots it would otherwise pass that size in one round trip, and every
+ * other request would be refused.
  */
 static void grow_window(struct steer_place *place)
 {
@@ -90,7 +91,7 @@
 		place->window_milli = WINDOW_UNLIMITED;
 }
 
-/* One cut for all refusals of one burst. */
+/* Cut the window, once for all refusals of one burst. */
 static void cut_window(struct steer_place *place, uint64_t now_us)
 {
 	uint64_t window = (own_in_flight(place) + 1ull) * MILLI;
@@ -114,10 +115,10 @@
 
 	cut_window(place, now_us);
 	/*
-	 * A gate under a little more load than it bears refuses a few of many.
-	 * Each such refusal names a time for its caller; if it closed the place
-	 * to all, requests would take the long way to another region while
-	 * slots here fall idle.
+	 * A slightly overloaded gate refuses a few of many requests. The
+	 * retry-after of such a refusal is for its caller only: if it closed
+	 * the place to all, requests would go to far regions while slots here
+	 * are idle.
 	 */
 	if (++place->consecutive_refusals < CLOSED_AFTER_REFUSALS)
 		return;
@@ -159,8 +160,8 @@
 }
 
 /*
- * The place answered or truly refused: it is alive. Only what was sent as a
- * trial ends a failure; an answer from before the failure is just late.
+ * The place answered or refused, so it is alive. A failing place recovers only
+ * once a trial was sent; an answer before that is to an older request.
  */
 static void learn_alive(struct steer_place *place, uint64_t now_us)
 {
@@ -190,14 +191,14 @@
 
 static void count_finished(struct steer_place *place)
 {
-	/* Requests end about in the order in which they were sent. */
+	/* Requests finish roughly in the order in which they were sent. */
 	if (place->own_reported)
 		place->own_reported--;
 	else if (place->own_unreported)
 		place->own_unreported--;
 }
 
-/* A time-out within the usual latency is the caller's short deadline. */
+/* A time-out within normal latency is due to the caller's short deadline. */
 static bool is_short_deadline(const struct steer_place *place,
 			      const struct steer_feedback *feedback)
 {
@@ -249,7 +250,7 @@
 		learn_refusal(place, feedback->retry_after_us, now_us);
 		break;
 	case RESULT_DEADLINE_TOO_SHORT:
-		/* Too late for this one only; the throttle counts it. */
+		/* Says nothing about other requests; the throttle counts it. */
 		learn_alive(place, now_us);
 		break;
 	case RESULT_CONNECT_FAILED:
@@ -262,7 +263,7 @@
 			learn_failure(place, now_us);
 		break;
 	default:
-		/* The request's own fault or a shift's cap: nothing learned. */
+		/* Caused by the request or a shift's cap, not by the place. */
 		place->throttle_accepts++;
 		learn_alive(place, now_us);
 		break;
