--- a/packages/core/seat.c
+++ b/packages/core/seat.c
@@ -5,17 +5,17 @@
 
 #define FREE_VALUE "free"
 
-/* While the row isn't known a read is asked for no more often than this. */
+/* Least interval of reads while the row isn't known. */
 #define READ_RETRY_US (500 * 1000ull)
 
-/* Writes whose answers may still be lost and found; older ones are given up. */
+/* Newest writes that a later read of the row may still confirm. */
 #define WRITES_TRACKED 8
 
-/* Others leave a free row to the node whose own it is for so long. */
+/* A free row is reserved for its preferred node for this long. */
 #define FREE_GRACE_US (2 * SEAT_RENEW_US)
 
 enum row_owner {
-	ROW_UNKNOWN, /* not read, or a write's answer was lost */
+	ROW_UNKNOWN, /* not read yet, or a write's outcome is unknown */
 	ROW_ABSENT,
 	ROW_FREE,
 	ROW_OTHER,
@@ -25,26 +25,25 @@
 struct sent_write {
 	uint64_t nonce; /* 0: none */
 	uint64_t sent_us;
-	bool acquires; /* the row wasn't own before */
-	bool delays_admission; /* it was another's, whose admissions may be just
-				  past */
+	bool acquires; /* this node didn't hold the row before */
+	bool delays_admission; /* another node may have just admitted */
 };
 
 struct seat {
 	char holder[SEAT_HOLDER_SIZE];
 
-	/* The row as last seen */
+	/* The row as last read or written */
 	enum row_owner owner;
 	bool row_known;
 	uint64_t version;
 	uint64_t unchanged_since_us;
 	uint64_t read_due_us;
 
-	/* Own writes */
+	/* This node's writes */
 	struct sent_write writes[WRITES_TRACKED];
 	uint64_t nonce; /* of the newest write */
 	uint64_t renew_due_us;
-	uint64_t acquired_us; /* when the row became own */
+	uint64_t acquired_us; /* when this node acquired the row */
 	bool releasing;
 
 	/* The lease */
@@ -53,11 +52,11 @@
 	uint64_t admit_from_us;
 
 	/*
-	 * The last admissions in a ring. It never shrinks: with a part that
-	 * goes down and up again within a second, all of them still count.
+	 * Times of the last admissions, in a ring. It never shrinks, so that
+	 * all still count if the quota goes down and up within a second.
 	 */
 	uint64_t *admitted_us;
-	uint32_t size; /* at least the part */
+	uint32_t size; /* of the ring; at least the quota */
 	uint32_t quota;
 	uint32_t count;
 	uint32_t next; /* where the next one goes */
@@ -90,7 +89,7 @@
 	return &seat->writes[nonce % WRITES_TRACKED];
 }
 
-/* The row holds what our write put there: the lease runs from its sending. */
+/* The row has the value of this write: the lease runs from when it was sent. */
 static void extend_lease(struct seat *seat, const struct sent_write *write)
 {
 	uint64_t until_us = write->sent_us + SEAT_LEASE_US;
@@ -130,10 +129,10 @@
 }
 
 /*
- * The write that frees the row may be held up on its way and land late, after
- * the row was read and still seen as own. A lease taken up again on that read
- * would then run beside the next holder's. So no write from before this one
- * gives a lease any more; one from after it can't land unless this one missed.
+ * The write that frees the row may be delayed and take effect after a read that
+ * still shows this node's value. A lease resumed by that read would overlap the
+ * next holder's. So no earlier write gives a lease any more; a later one can
+ * only succeed if this one failed.
  */
 static void request_free(struct seat *seat, struct seat_step *step)
 {
@@ -154,7 +153,7 @@
 	step->action = SEAT_READ;
 }
 
-/* How long the row must have stood unchanged before this node may take it. */
+/* How long the row must be unchanged before this node may acquire it. */
 static uint64_t takeover_delay_us(const struct seat *seat, bool preferred)
 {
 	if (seat->owner == ROW_OTHER)
@@ -187,7 +186,7 @@
 		request_write(seat, now_us, step);
 }
 
-/* When the n-th newest admission was, counted from 1; n is at most count. */
+/* Time of the n-th newest admission, with n from 1 to count. */
 static uint64_t nth_newest(const struct seat *seat, uint32_t n)
 {
 	return seat->admitted_us[(seat->next + seat->size - n) % seat->size];
@@ -202,7 +201,7 @@
 		seat->count++;
 }
 
-/* Whether as many as the part were admitted within the window. */
+/* Whether the quota was admitted within the window that ends now. */
 static bool is_quota_used_up(const struct seat *seat, uint64_t now_us)
 {
 	if (!seat->quota)
@@ -273,7 +272,7 @@
 		request_read(seat, now_us, step);
 }
 
-/* The row is own; the write that made it so gives the lease. */
+/* The row has this node's value: the write with its nonce gives the lease. */
 static void own_value_read(struct seat *seat, const char *value,
 			   uint64_t now_us)
 {
@@ -286,7 +285,7 @@
 			extend_lease(seat, write);
 		return;
 	}
-	/* It may have taken the row from another, who admitted just before. */
+	/* That write may have followed another node's admissions. */
 	if (seat_is_held(seat, now_us))
 		return;
 	seat->admit_from_us = now_us + SEAT_WINDOW_US;
--- a/packages/core/seat.h
+++ b/packages/core/seat.h
@@ -1,26 +1,28 @@
 /*
- * seat - the right to admit a part of a shift's cap, held under a lease
+ * seat - lease on a quota of a shift's cap
  *
- * Each shift has as many seats as its receiving place has configured nodes. A
- * seat is a row in the platform's table; who holds it may admit the seat's part
- * of the cap at the receiving place, counted exactly over any one second. Pure:
- * the owner reads and writes the row and passes results in. Not thread-safe.
+ * A shift's cap, in requests a second, is split into seats with a quota each:
+ * one seat for each configured node of the receiving place. A seat is a row in
+ * a table of the platform. The node that holds the lease on it may admit its
+ * quota at the receiving place; no period of one second has more admissions
+ * than that. Does no I/O: the owner reads and writes the row and passes in the
+ * results. Not thread-safe.
  *
- * No clocks of two machines are compared: the holder counts its lease from
- * before it sent the write; another node takes a seat only after it has seen
- * the row unchanged for lease and drift on its own clock, and admits nothing
- * for one window after that, so that no second holds admissions of both.
+ * Clocks of different machines are never compared. A holder's lease runs from
+ * just before it sent its write. Another node acquires the seat only after it
+ * has seen the row unchanged for SEAT_LEASE_US + SEAT_CLOCK_DRIFT_US on its own
+ * clock, and admits nothing for SEAT_WINDOW_US after that, so that no second
+ * has admissions of both.
  *
- * The row's value is "HOLDER NONCE", or "free" after a holder gave it up; the
- * nonce is new with each write. A write whose answer was lost is settled by
- * reading: where the row has the write's nonce, the lease counts from when
- * that write was sent.
+ * The row's value is "HOLDER NONCE", or "free" after its holder released it.
+ * Each write has a new nonce. If the answer to a write is lost, the row is read:
+ * if it has the write's nonce, the lease runs from when that write was sent.
  *
- * A node that holds another's seat gives it up after SEAT_BORROW_MAX_US, so
- * that the node whose own it is gets it back.
+ * Each seat is preferred by one node. Another node that holds it releases it
+ * after SEAT_BORROW_MAX_US, so that the preferred node gets it back.
  *
- * now_us comes from a clock that counts suspension, read under the owner's lock
- * right before the call.
+ * now_us must come from a clock that runs on while the machine is suspended,
+ * read under the owner's lock right before the call.
  */
 #ifndef CORE_SEAT_H
 #define CORE_SEAT_H
@@ -35,22 +37,26 @@
 extern "C" {
 #endif
 
+/* A lease lasts this long unless renewed, each SEAT_RENEW_US. */
 #define SEAT_LEASE_US (6 * 1000 * 1000ull)
 #define SEAT_RENEW_US (2 * 1000 * 1000ull)
+/* Allowance for clocks that run at different rates during a lease. */
 #define SEAT_CLOCK_DRIFT_US (1 * 1000 * 1000ull)
+/* Period over which admissions are counted. */
 #define SEAT_WINDOW_US (1 * 1000 * 1000ull)
 #define SEAT_BORROW_MAX_US (60 * 1000 * 1000ull)
 
-/* Longest holder's name, with the NUL, that leaves room for the nonce. */
+/* Size of a holder's name with the NUL; leaves room for blank and nonce. */
 #define SEAT_HOLDER_SIZE (ID_SIZE - 21)
 
 struct seat;
 
-/* What the owner should do with the seat's row now. */
+/* What the owner must do with the seat's row now. */
 enum seat_action {
 	SEAT_IDLE,
-	SEAT_READ, /* read the row, then seat_row_read() */
-	SEAT_WRITE, /* write value at version, then seat_row_written() */
+	SEAT_READ, /* read the row, then call seat_row_read() */
+	SEAT_WRITE, /* write value if the row has expected_version, then call
+		     * seat_row_written() */
 };
 
 struct seat_step {
@@ -59,44 +65,48 @@
 	char value[ID_SIZE]; /* for SEAT_WRITE */
 };
 
-/* holder names this node and its incarnation, without blanks; unique for ever;
- * shorter than SEAT_HOLDER_SIZE, else NULL is returned. */
+/*
+ * holder identifies this node and its incarnation and must never be reused.
+ * Returns NULL if it contains a blank or doesn't fit in SEAT_HOLDER_SIZE.
+ */
 struct seat *seat_new(const char *holder, uint32_t quota_per_s);
 void seat_free(struct seat *seat);
 
-/* Part of a cap for the seat of this rank among count; the parts add to cap. */
+/* Quota of the seat of this rank among count; the quotas add up to the cap. */
 uint32_t seat_quota(uint32_t cap_per_s, uint32_t rank, uint32_t count);
 
-/* A cap was replaced: the part changes, what was admitted still counts. */
+/* Change the quota; past admissions still count against it. */
 void seat_set_quota(struct seat *seat, uint32_t quota_per_s);
 
-/* Stop admitting now and, in later steps, hand the row back; for a stop. */
+/* Stop admitting now and free the row in later steps, when the node stops. */
 void seat_release(struct seat *seat);
 
 /*
- * What to do now; the owner calls it a few times a second and has one read or
- * write of the row under way at a time. While the row is another's it is read
- * about each SEAT_RENEW_US, so a node should watch few seats besides its own.
- * preferred: this node's own seat; others' are taken only when they lapse.
+ * Determine what to do next. The owner calls it a few times a second and does
+ * one read or write of the row at a time. While another node holds the row, it
+ * is read about each SEAT_RENEW_US, so a node should watch few seats besides
+ * its own. preferred: whether this node is the preferred one for the seat; any
+ * other acquires it only once its lease has lapsed or it has stayed free.
  */
 void seat_next_step(struct seat *seat, bool preferred, uint64_t now_us,
 		    struct seat_step *step);
 
-/* The row as read; value is NULL where the row doesn't exist. */
+/* Process the row as read; value is NULL if the row doesn't exist. */
 void seat_row_read(struct seat *seat, uint64_t version, const char *value,
 		   uint64_t now_us);
 
 /*
- * The write that was sent at sent_us (read before sending) succeeded (version)
- * or did not, or may have (0); the row is read again then.
+ * Process the result of a write. sent_us is the time just before it was sent.
+ * version is the row's new version, or 0 if the write failed or its outcome is
+ * unknown; the row is read again then.
  */
 void seat_row_written(struct seat *seat, uint64_t version, uint64_t sent_us,
 		      uint64_t now_us);
 
-/* Whether the lease holds at this moment. */
+/* Whether this node has the lease now. */
 bool seat_is_held(const struct seat *seat, uint64_t now_us);
 
-/* Admit one shifted request: the lease holds and the part isn't used up. */
+/* Admit one shifted request; false without the lease or quota. */
 bool seat_admit(struct seat *seat, uint64_t now_us);
 
 #ifdef __cplusplus
--- a/packages/core/steer_bucket.h
+++ b/packages/core/steer_bucket.h
@@ -1,9 +1,9 @@
 /*
- * steer_bucket - a token bucket: so many requests a second, with a burst
+ * steer_bucket - token bucket that limits requests a second
  *
- * The burst is a tenth of a second's requests and at least one. The rate is
- * passed in with each call, since it may change, and is above 0. Pure; not
- * thread-safe. Times are microseconds of the clock port.
+ * The burst is the requests of a tenth of a second, at least one. The rate may
+ * change and so is passed to each call; it is above 0. Not thread-safe. Times
+ * are microseconds of the clock port.
  */
 #ifndef CORE_STEER_BUCKET_H
 #define CORE_STEER_BUCKET_H
@@ -16,22 +16,22 @@
 #endif
 
 struct steer_bucket {
-	uint64_t tokens_micro; /* millionths of a request */
+	uint64_t tokens_micro; /* in millionths; a request costs one token */
 	uint64_t refilled_us;
 };
 
-/* Fill the bucket with its whole burst. */
+/* Fill the bucket up to the burst. */
 void steer_bucket_fill(struct steer_bucket *bucket, uint32_t per_s,
 		       uint64_t now_us);
 
-/* Add what came in since; whether the bucket holds a request then. */
+/* Refill up to now_us; whether a token is available then. */
 bool steer_bucket_has(struct steer_bucket *bucket, uint32_t per_s,
 		      uint64_t now_us);
 
-/* Take one request out; nothing is owed where the bucket holds less. */
+/* Take a token, or what is left if that is less. */
 void steer_bucket_take(struct steer_bucket *bucket);
 
-/* Time until the bucket holds a request, as it stood when last asked. */
+/* Time from the last refill until a token is available. */
 uint64_t steer_bucket_wait_us(const struct steer_bucket *bucket,
 			      uint32_t per_s);
 
--- a/packages/core/steer_shift.c
+++ b/packages/core/steer_shift.c
@@ -3,7 +3,10 @@
 #include <glib.h>
 #include <string.h>
 
-/* Growth in a step: half again, or a little near a share the cap refused. */
+/*
+ * Growth in a step: by half, or by 5 permille from 80 % of the share at which
+ * the cap refused last.
+ */
 #define GROWTH_DIVISOR 2
 #define CAUTIOUS_GROWTH_PERMILLE 5
 #define CAUTIOUS_FROM_PERCENT 80
@@ -11,13 +14,13 @@
 #define SLOW_CUT_DIVISOR 4
 #define CAP_CUT_PERCENT 70
 #define CAP_HOLD_US (2 * 1000 * 1000ull)
-/* Refusals of requests sent before a cut don't cut again. */
+/* A cut isn't repeated within this time for requests sent before it. */
 #define CUT_INTERVAL_US (500 * 1000ull)
 
 #define LEARN_DIVISOR 8
-/* The base rises by this part of itself in a step at most. */
+/* The base latency rises by at most this fraction of itself in a step. */
 #define BASE_RISE_DIVISOR 64
-/* Part of the receiving place's slots that must be free for a share to grow. */
+/* Fraction of the receiving place's slots that must be free for growth. */
 #define GROWTH_RESERVE_DIVISOR 8
 
 static uint32_t start_share(const struct steer_shift *shift)
@@ -79,10 +82,11 @@
 }
 
 /*
- * The time that a request takes at the place when all is well, by what the
- * place says of its own callers' and by what this node saw. With cold caches
- * the latter alone is slow from the first request on and would hide that; with
- * many slow ones the former rises, so the base follows up slowly only.
+ * The place's latency under normal load: the lesser of the service time that it
+ * reports, which includes its own callers, and the base latency that this node
+ * measured. With cold caches the latter is high from the first request on and
+ * would not show as slow. Many slow shifted requests raise the former, so the
+ * base rises slowly only.
  */
 static void learn_base(struct steer_shift *shift, const struct steer_place *to,
 		       bool may_rise)
@@ -131,8 +135,9 @@
 	if (!to || to->spec.drained || !shift->cap_per_s)
 		return 0;
 	/*
-	 * A failing place gets trials only, but it does get those: home serves
-	 * all else, and without trials the shift would never come back.
+	 * A failing place still gets trial requests under the start share:
+	 * home serves the others, and without trials the shift would never
+	 * resume.
 	 */
 	if (to->failing || steer_place_is_silent(to, now_us))
 		return start_share(shift);
--- a/packages/core/ticket.c
+++ b/packages/core/ticket.c
@@ -6,11 +6,11 @@
 #define DIGITS "0123456789abcdefghijklmnopqrstuv"
 #define DIGIT_BITS 5
 #define DIGIT_MASK ((1u << DIGIT_BITS) - 1)
-/* Digits of the largest number: 64 bits in fives. */
+/* Digits of the largest number: 64 bits, five in a digit. */
 #define NUMBER_MAX_DIGITS 13
 #define SEPARATOR ':'
 
-/* One in this many entries is held back for tombstones. */
+/* One in this many entries is reserved for tombstones. */
 #define FENCE_RESERVE_DIVISOR 8
 
 G_STATIC_ASSERT(NAME_SIZE + 4 * (NUMBER_MAX_DIGITS + 1) <= ID_SIZE);
@@ -20,12 +20,12 @@
 	uint64_t epoch;
 	enum ledger_state state;
 	struct ledger_answer answer;
-	GList kept; /* in the ledger's kept answers while LEDGER_DONE */
+	GList kept; /* link in the ledger's kept while LEDGER_DONE */
 };
 
 struct ledger {
 	GHashTable *entries; /* id to entry; the entry owns the id */
-	GQueue kept; /* of entries whose answers are kept, oldest first */
+	GQueue kept; /* entries with kept answers, oldest first */
 	uint64_t kept_bytes;
 	uint64_t max_bytes;
 	uint64_t oldest_epoch;
@@ -56,7 +56,7 @@
 	return -1;
 }
 
-/* A separator and a number without leading zeros; NULL if malformed. */
+/* Parse a separator and a number without leading zeros; NULL if malformed. */
 static const char *parse_number(const char *text, uint64_t *number)
 {
 	const char *digits = text + 1;
@@ -199,8 +199,8 @@
 	if (entry->epoch >= ledger->oldest_epoch)
 		return FALSE;
 	/*
-	 * What still runs stays until it ends: forgotten now, a resend would
-	 * be told that nobody knows although this node does.
+	 * A running entry stays until it ends: without it a resend would get
+	 * RESULT_OUTCOME_UNKNOWN although this node will know the outcome.
 	 */
 	if (entry->state == LEDGER_RUNNING)
 		return FALSE;
@@ -297,9 +297,9 @@
 		return start_result(entry->state);
 	}
 	/*
-	 * A ticket of a forgotten epoch may have run here: it would run a
-	 * second time if it started. The owner turns such tickets away before;
-	 * this holds should an epoch pass between its check and this call.
+	 * A ticket of an expired epoch may have run here already and must not
+	 * run again. The owner rejects such tickets before; this check covers
+	 * an epoch that expires between the owner's check and this call.
 	 */
 	if (epoch < ledger->oldest_epoch)
 		return RESULT_OUTCOME_UNKNOWN;
--- a/packages/core/ticket.h
+++ b/packages/core/ticket.h
@@ -1,10 +1,11 @@
 /*
- * ticket - the right of a non-idempotent request to run once, at one node
+ * ticket - idempotency key of a non-idempotent request, valid at one node
  *
- * A ticket names the node, its incarnation and its epoch when it was issued.
- * Only that incarnation runs it, and the ledger there remembers it until the
- * epoch is too old to be accepted. A restarted node has another incarnation,
- * so that what its forgotten ledger held can't run again.
+ * A ticket lets a request run at most once. It names a node, the node's
+ * incarnation and the epoch in which it was issued. Only that incarnation runs
+ * it, and the ledger there keeps an entry for it until the epoch is too old to
+ * be accepted. A restarted node has lost its ledger, but has another
+ * incarnation, so the tickets of the lost ledger can't run again.
  */
 #ifndef CORE_TICKET_H
 #define CORE_TICKET_H
@@ -19,55 +20,56 @@
 extern "C" {
 #endif
 
-/* An epoch lasts this long; tickets of the last EPOCHS_KEPT are accepted. */
+/* Length of an epoch; tickets of this many most recent epochs are accepted. */
 #define TICKET_EPOCH_US (20 * 1000 * 1000ull)
 #define TICKET_EPOCHS_ACCEPTED 10
 
 struct ticket {
-	char node[NAME_SIZE]; /* where it runs */
+	char node[NAME_SIZE]; /* that runs it */
 	uint64_t incarnation;
 	uint64_t epoch;
-	uint64_t issuer; /* incarnation of the node that gave it out */
-	uint64_t sequence; /* of the issuer */
+	uint64_t issuer; /* incarnation of the node that issued it */
+	uint64_t sequence; /* number given by the issuer */
 };
 
 /*
- * Text form, as the header carries it; text holds ID_SIZE bytes. The node's
- * name and four numbers in base 32 (0-9 a-v), split by colons:
+ * Write the ticket as text, as sent in the HTTP header; text must have room for
+ * ID_SIZE bytes. The format is the node's name and four numbers in base 32 (0-9
+ * a-v), in the order of the members, separated by colons:
  *
  *     entry-1:5g3k:2a:9v0c:1
  *
- * A ticket has one text form only, so that the text may serve as a key.
+ * A ticket has exactly one text form, so the text can be used as a key.
  */
 void ticket_format(const struct ticket *ticket, char *text);
 
-/* RESULT_OK or RESULT_TICKET_MALFORMED; then *ticket is left alone. */
+/* RESULT_OK, or RESULT_TICKET_MALFORMED with *ticket unchanged. */
 enum result ticket_parse(const char *text, struct ticket *ticket);
 
-/* Epoch at this many microseconds since the incarnation began. */
+/* Epoch at this time since the incarnation began. */
 uint64_t ticket_epoch(uint64_t since_start_us);
 
-/* The oldest epoch whose tickets are accepted in this one. */
+/* Oldest epoch whose tickets are accepted in current_epoch. */
 uint64_t ticket_oldest_epoch(uint64_t current_epoch);
 
 /*
- * Whether a ticket's epoch is accepted now. One that is too old may have run
- * and been forgotten (RESULT_OUTCOME_UNKNOWN); one from the future was never
- * issued (RESULT_TICKET_MALFORMED).
+ * Whether a ticket's epoch is accepted now. A ticket that is too old may have
+ * run and its entry expired (answered by RESULT_OUTCOME_UNKNOWN); one from a
+ * future epoch was never issued (RESULT_TICKET_MALFORMED).
  */
 bool ticket_epoch_accepted(uint64_t epoch, uint64_t current_epoch);
 
 /*
- * ledger - what became of tickets and attempts at this incarnation
+ * ledger - states and answers of tickets and attempts at this incarnation
  *
- * Keyed by any id (an entry keeps tickets, a gate keeps ticket and attempt).
- * Not thread-safe: the owner's lock guards it.
+ * A deduplication table keyed by any id: the entry role uses tickets, the gate
+ * role ticket and attempt. Not thread-safe: the owner's lock guards it.
  *
- * Bounded twice. Entries: a full ledger starts nothing more, and never drops an
- * entry whose epoch is still accepted, since a forgotten ticket could run
- * twice. Kept answers: past their bound in bytes the oldest answers are let go
- * and their entries stay as LEDGER_DROPPED; a resend is told that the request
- * ran and that its answer isn't kept, never "not run".
+ * It has two limits. Number of entries: a full ledger starts nothing more; it
+ * never evicts an entry whose epoch is still accepted, since the ticket could
+ * run twice then. Bytes of kept answers: above the limit the oldest answers are
+ * dropped and their entries stay as LEDGER_DROPPED, so that a resend gets
+ * RESULT_ANSWER_DROPPED (it ran) and never "not run".
  */
 struct ledger;
 
@@ -76,63 +78,66 @@
 	LEDGER_RUNNING,
 	LEDGER_DONE, /* the answer is kept */
 	LEDGER_UNKNOWN, /* ended without an answer; it may have run */
-	LEDGER_FENCED, /* a tombstone: it never runs */
-	LEDGER_DROPPED, /* it ran; the answer was let go for want of memory */
+	LEDGER_FENCED, /* tombstone: it never runs */
+	LEDGER_DROPPED, /* it ran; the answer was dropped to save memory */
 };
 
 struct ledger_answer {
 	int http_status;
-	char *content_type; /* for g_free() */
-	char *body; /* for g_free() */
+	char *content_type; /* owned, from GLib; may be NULL */
+	char *body; /* owned, from GLib; may be NULL */
 	uint64_t body_bytes;
 };
 
 struct ledger *ledger_new(uint32_t max_entries);
 
-/* Bound on the kept answers' bytes, LEDGER_MAX_ANSWER_BYTES at first. */
+/* Set the limit on the kept answers' bytes; default LEDGER_MAX_ANSWER_BYTES. */
 void ledger_limit_bytes(struct ledger *ledger, uint64_t max_bytes);
 
 void ledger_free(struct ledger *ledger);
 
 /*
- * Start an id. RESULT_OK where it was absent; RESULT_IN_PROGRESS,
- * RESULT_OUTCOME_UNKNOWN, RESULT_ANSWER_DROPPED or RESULT_FENCED by its state
- * otherwise. Where it is done, RESULT_OK with *answer set to the kept one,
- * valid while the lock is held. RESULT_OVERLOAD where the ledger is full:
- * nothing was started. RESULT_OUTCOME_UNKNOWN for an epoch already forgotten.
+ * Start an id. Returns RESULT_OK and sets *answer to NULL if the id was absent
+ * and is running now. If it is done, returns RESULT_OK and sets *answer to the
+ * kept answer, valid while the lock is held. In other states returns
+ * RESULT_IN_PROGRESS, RESULT_OUTCOME_UNKNOWN, RESULT_ANSWER_DROPPED or
+ * RESULT_FENCED. Returns RESULT_OVERLOAD if the ledger is full and
+ * RESULT_OUTCOME_UNKNOWN if the epoch has expired; nothing is started then.
  */
 enum result ledger_start(struct ledger *ledger, const char *id, uint64_t epoch,
 			 const struct ledger_answer **answer);
 
 /*
- * The started id ended: LEDGER_DONE with its answer, LEDGER_UNKNOWN, or
- * LEDGER_ABSENT: proved not run, and may start again. The answer's strings are
- * taken over and the answer is cleared; it may be NULL but for LEDGER_DONE. An
- * unknown id may still become done or absent later; other ends stand.
+ * Set the final state of a started id: LEDGER_DONE with its answer,
+ * LEDGER_UNKNOWN, or LEDGER_ABSENT if it is certain that it didn't run; it may
+ * start again then. The ledger takes ownership of the answer's strings and
+ * clears *answer, which may be NULL except for LEDGER_DONE. LEDGER_UNKNOWN may
+ * change to done or absent later; the other states stay.
  */
 void ledger_finish(struct ledger *ledger, const char *id,
 		   enum ledger_state state, struct ledger_answer *answer);
 
 /*
- * Put a tombstone where the id is absent; the state that was found. Both
- * LEDGER_ABSENT and LEDGER_FENCED prove that it never runs. LEDGER_UNKNOWN also
- * where no tombstone could be put: the epoch is forgotten or no room is left
- * (an eighth of the entries is held back for tombstones).
+ * Put a tombstone if the id is absent. Returns the state found, with *answer
+ * set if it is LEDGER_DONE. After LEDGER_ABSENT or LEDGER_FENCED the id never
+ * runs. LEDGER_UNKNOWN also means that no tombstone could be put because the
+ * epoch has expired or the ledger is full (an eighth of the entries is reserved
+ * for tombstones).
  */
 enum ledger_state ledger_fence(struct ledger *ledger, const char *id,
 			       uint64_t epoch,
 			       const struct ledger_answer **answer);
 
 /*
- * Forget what was started in epochs before this one, and start nothing of them
- * any more. What still runs is forgotten when it ends. O(entries) when the
- * epoch has grown, nothing otherwise.
+ * Remove the entries of epochs before oldest_epoch and refuse to start ids of
+ * them from now on. Entries that are running are removed when they end. Takes
+ * O(entries) if oldest_epoch has grown, else does nothing.
  */
 void ledger_expire(struct ledger *ledger, uint64_t oldest_epoch);
 
 uint32_t ledger_count(const struct ledger *ledger);
 
-/* Bytes of the answers that are kept. */
+/* Bytes of the kept answers. */
 uint64_t ledger_bytes(const struct ledger *ledger);
 
 #ifdef __cplusplus
