--- a/packages/core/seat.h
+++ b/packages/core/seat.h
@@ -15,8 +15,9 @@
  * has admissions of both.
  *
  * The row's value is "HOLDER NONCE", or "free" after its holder released it.
- * Each write has a new nonce. If the answer to a write is lost, the row is read:
- * if it has the write's nonce, the lease runs from when that write was sent.
+ * Each write has a new nonce. If the answer to a write is lost, the row is
+ * read; if it has the write's nonce, the lease runs from when that write was
+ * sent.
  *
  * Each seat is preferred by one node. Another node that holds it releases it
  * after SEAT_BORROW_MAX_US, so that the preferred node gets it back.
