--- a/packages/core/seat.c
+++ b/packages/core/seat.c
@@ -14,12 +14,12 @@
 /* A free row is reserved for its preferred node for this long. */
 #define FREE_GRACE_US (2 * SEAT_RENEW_US)
 
-enum row_owner {
+enum row_state {
 	ROW_UNKNOWN, /* not read yet, or a write's outcome is unknown */
 	ROW_ABSENT,
 	ROW_FREE,
-	ROW_OTHER,
-	ROW_OWN,
+	ROW_HELD_BY_OTHER,
+	ROW_HELD,
 };
 
 struct sent_write {
@@ -33,7 +33,7 @@
 	char holder[SEAT_HOLDER_SIZE];
 
 	/* The row as last read or written */
-	enum row_owner owner;
+	enum row_state row_state;
 	bool row_known;
 	uint64_t version;
 	uint64_t unchanged_since_us;
@@ -75,13 +75,13 @@
 	return g_ascii_strtoull(value + strlen(seat->holder) + 1, NULL, 10);
 }
 
-static enum row_owner owner_of(const struct seat *seat, const char *value)
+static enum row_state row_state_of(const struct seat *seat, const char *value)
 {
 	if (!value)
 		return ROW_ABSENT;
 	if (!strcmp(value, FREE_VALUE))
 		return ROW_FREE;
-	return is_own_value(seat, value) ? ROW_OWN : ROW_OTHER;
+	return is_own_value(seat, value) ? ROW_HELD : ROW_HELD_BY_OTHER;
 }
 
 static struct sent_write *write_slot(struct seat *seat, uint64_t nonce)
@@ -119,9 +119,9 @@
 	write = write_slot(seat, seat->nonce);
 	write->nonce = seat->nonce;
 	write->sent_us = now_us;
-	write->acquires = seat->owner != ROW_OWN;
-	write->delays_admission = seat->owner == ROW_OTHER ||
-				  seat->owner == ROW_FREE;
+	write->acquires = seat->row_state != ROW_HELD;
+	write->delays_admission = seat->row_state == ROW_HELD_BY_OTHER ||
+				  seat->row_state == ROW_FREE;
 	step->action = SEAT_WRITE;
 	step->expected_version = seat->version;
 	g_snprintf(step->value, sizeof(step->value), "%s %" G_GUINT64_FORMAT,
@@ -156,7 +156,7 @@
 /* How long the row must be unchanged before this node may acquire it. */
 static uint64_t takeover_delay_us(const struct seat *seat, bool preferred)
 {
-	if (seat->owner == ROW_OTHER)
+	if (seat->row_state == ROW_HELD_BY_OTHER)
 		return SEAT_LEASE_US + SEAT_CLOCK_DRIFT_US;
 	return preferred ? 0 : FREE_GRACE_US;
 }
@@ -164,7 +164,7 @@
 static bool may_acquire(const struct seat *seat, bool preferred,
 			uint64_t now_us)
 {
-	if (seat->owner == ROW_UNKNOWN || seat->releasing)
+	if (seat->row_state == ROW_UNKNOWN || seat->releasing)
 		return false;
 	return now_us >=
 	       seat->unchanged_since_us + takeover_delay_us(seat, preferred);
@@ -264,11 +264,11 @@
 		    struct seat_step *step)
 {
 	memset(step, 0, sizeof(*step));
-	if (seat->owner == ROW_OWN)
+	if (seat->row_state == ROW_HELD)
 		next_own_step(seat, preferred, now_us, step);
 	else if (may_acquire(seat, preferred, now_us))
 		request_write(seat, now_us, step);
-	else if (seat->owner == ROW_UNKNOWN || !seat->releasing)
+	else if (seat->row_state == ROW_UNKNOWN || !seat->releasing)
 		request_read(seat, now_us, step);
 }
 
@@ -279,7 +279,7 @@
 	uint64_t nonce = nonce_of(seat, value);
 	const struct sent_write *write = write_slot(seat, nonce);
 
-	seat->owner = ROW_OWN;
+	seat->row_state = ROW_HELD;
 	if (nonce && write->nonce == nonce) {
 		if (!seat->releasing)
 			extend_lease(seat, write);
@@ -300,8 +300,8 @@
 		seat->unchanged_since_us = now_us;
 	seat->row_known = true;
 	seat->version = version;
-	seat->owner = owner_of(seat, value);
-	if (seat->owner == ROW_OWN)
+	seat->row_state = row_state_of(seat, value);
+	if (seat->row_state == ROW_HELD)
 		own_value_read(seat, value, now_us);
 	else
 		end_lease(seat);
@@ -317,18 +317,18 @@
 		write->sent_us = sent_us;
 	seat->read_due_us = now_us;
 	if (!version) {
-		seat->owner = ROW_UNKNOWN;
+		seat->row_state = ROW_UNKNOWN;
 		return;
 	}
 	seat->version = version;
 	seat->unchanged_since_us = now_us;
 	if (!is_lease) {
-		seat->owner = ROW_FREE;
+		seat->row_state = ROW_FREE;
 		return;
 	}
 	if (!seat->releasing)
 		extend_lease(seat, write);
-	seat->owner = ROW_OWN;
+	seat->row_state = ROW_HELD;
 }
 
 bool seat_is_held(const struct seat *seat, uint64_t now_us)
--- a/packages/core/steer_place.c
+++ b/packages/core/steer_place.c
@@ -196,7 +196,7 @@
 static bool trial_allowed(const struct steer_place *place,
 			  enum service_class class_of, uint64_t now_us)
 {
-	if (now_us < place->trial_at_us)
+	if (now_us < place->next_trial_us)
 		return false;
 	return class_of != SERVICE_NON_IDEMPOTENT ||
 	       (place->reported && place->report_made_us > place->failed_us);
@@ -208,7 +208,7 @@
 				     uint64_t now_us,
 				     struct steer_estimate *estimate)
 {
-	uint64_t trial_us = elapsed_us(now_us, place->trial_at_us);
+	uint64_t trial_us = elapsed_us(now_us, place->next_trial_us);
 
 	if (place->failing) {
 		if (trial_allowed(place, class_of, now_us))
@@ -284,13 +284,13 @@
 static uint64_t reserved_slots(uint64_t slots,
 			       const struct steer_place_request *request)
 {
-	uint64_t parts = 0;
+	uint64_t reserves = 0;
 
 	if (!request->at_home)
-		parts++;
+		reserves++;
 	if (request->class_of == SERVICE_BACKGROUND)
-		parts++;
-	return slots * parts / RESERVE_DIVISOR;
+		reserves++;
+	return slots * reserves / RESERVE_DIVISOR;
 }
 
 /*
@@ -433,7 +433,7 @@
 		steer_bucket_take(&place->silent_bucket);
 	if (place->failing) {
 		place->trial_sent = true;
-		place->trial_at_us = now_us + place->backoff_us;
+		place->next_trial_us = now_us + place->backoff_us;
 	}
 }
 
--- a/packages/core/steer_place.h
+++ b/packages/core/steer_place.h
@@ -86,7 +86,7 @@
 	uint32_t failure_permille; /* moving average */
 	uint64_t failed_us;
 	uint64_t recovered_us;
-	uint64_t trial_at_us; /* when the next trial is due */
+	uint64_t next_trial_us; /* when the next trial is due */
 	uint64_t backoff_us; /* interval of trials */
 	uint64_t slow_start_us; /* when slow start began; 0: not in it */
 
--- a/packages/core/steer_place_record.c
+++ b/packages/core/steer_place_record.c
@@ -139,7 +139,7 @@
 	place->failing = true;
 	place->trial_sent = false;
 	place->slow_start_us = 0;
-	place->trial_at_us = now_us + place->backoff_us;
+	place->next_trial_us = now_us + place->backoff_us;
 }
 
 static void learn_failure(struct steer_place *place, uint64_t now_us)
