--- a/examples/steer_choose.c
+++ b/examples/steer_choose.c
@@ -1,7 +1,7 @@
 /*
- * steer_choose - an entry node chooses a place, first at home, then elsewhere
+ * steer_choose - choose a place for a request, first at home, then elsewhere
  *
- * Two places 55 ms apart report what they have; home fills up in between.
+ * Two places 55 ms apart report their load; home is full at the second choice.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -38,7 +38,7 @@
 	       specs[choice.place].name, steer_rule_name(choice.rule),
 	       choice.expected_us / MS);
 
-	/* What came of it teaches the next choice. */
+	/* The outcome influences later choices. */
 	feedback = (struct steer_feedback){ choice.place, choice.shift,
 					    RESULT_OK, choice.expected_us, 0 };
 	steer_record(steer, &feedback, now_us + choice.expected_us);
--- a/examples/ticket_ledger.c
+++ b/examples/ticket_ledger.c
@@ -1,7 +1,8 @@
 /*
- * ticket_ledger - a ticket runs once, and a resend gets the kept answer
+ * ticket_ledger - run a ticket once and answer a resend with the kept answer
  *
- * The node's side of a non-idempotent request, without network or clock.
+ * Shows what a node does for a non-idempotent request, without network or
+ * clock.
  */
 #include <glib.h>
 #include <stdio.h>
@@ -39,7 +40,7 @@
 	ledger_finish(ledger, first, LEDGER_DONE, &answer);
 	start(ledger, first, ticket.epoch);
 
-	/* A tombstone: after "not run" no late copy may run either. */
+	/* A tombstone: once "not run" is answered, no delayed copy may run. */
 	ticket.sequence = 2;
 	ticket_format(&ticket, second);
 	if (ledger_fence(ledger, second, ticket.epoch, &kept) == LEDGER_ABSENT)
--- a/tests/core/ledger_test.cc
+++ b/tests/core/ledger_test.cc
@@ -84,7 +84,7 @@
 	}
 }
 
-TEST_F(Ledger, FirstFinalEndStands)
+TEST_F(Ledger, FirstFinalStateStays)
 {
 	const struct {
 		enum ledger_state first, then;
@@ -109,11 +109,11 @@
 }
 
 /*
- * A plant asks for a certificate while the node's ledger is full. Were an old
- * entry thrown out to make room, its resend would run a second time: two
- * certificates. The new one is refused instead, and the refusal is true.
+ * A request comes while the ledger is full. If an old entry were evicted to
+ * make room, a resend of it would run a second time, so the new request is
+ * refused without being run.
  */
-TEST_F(Ledger, FullLedgerRefusesStartsAndForgetsNothing)
+TEST_F(Ledger, FullLedgerRefusesStartsAndEvictsNothing)
 {
 	int i;
 
@@ -136,11 +136,11 @@
 }
 
 /*
- * Large answers pile up. Past the bound the oldest answer goes, and the plant
- * that resends hears "it ran, the answer isn't kept", never "not run": on that
- * word it would order a second certificate.
+ * Kept answers exceed the limit in bytes and the oldest is dropped. A resend of
+ * its request must get "it ran, the answer isn't kept" and never "not run",
+ * upon which the caller would repeat the request under a new ticket.
  */
-TEST_F(Ledger, PastTheBytesTheOldestAnswerGoesAndItsEndStays)
+TEST_F(Ledger, AboveTheByteLimitTheOldestAnswerIsDroppedNotItsState)
 {
 	ledger_limit_bytes(ledger, 10);
 	for (const char *id : { "a", "b", "c" }) {
@@ -154,7 +154,7 @@
 	EXPECT_STREQ("12345", kept->body);
 }
 
-TEST_F(Ledger, ProvedNotRunMayStartAgain)
+TEST_F(Ledger, IdThatCertainlyDidNotRunMayStartAgain)
 {
 	start("a");
 	finish("a", LEDGER_ABSENT);
@@ -164,11 +164,11 @@
 }
 
 /*
- * A ticket passes the epoch check, then its thread is held up for a minute and
- * the epoch is forgotten. Started then, it could be the second run of a ticket
- * whose entry is gone.
+ * A ticket passes the owner's epoch check, then its thread is delayed until the
+ * epoch has expired. If it started then, it could run for the second time,
+ * since an earlier entry would have been removed.
  */
-TEST_F(Ledger, ForgottenEpochsNeitherStartNorFence)
+TEST_F(Ledger, ExpiredEpochsNeitherStartNorFence)
 {
 	start("running");
 	start("old");
--- a/tests/core/seat_test.cc
+++ b/tests/core/seat_test.cc
@@ -11,7 +11,7 @@
 static const uint64_t ms = 1000;
 static const uint64_t second = 1000 * ms;
 
-/* The platform's row: changed by compare-and-set only. */
+/* A row in the platform's table, written by compare-and-set. */
 struct row {
 	uint64_t version = 0;
 	std::string value;
@@ -52,7 +52,7 @@
 		return step;
 	}
 
-	/* Do steps until the seat has nothing to do. */
+	/* Carry out steps until none is left. */
 	void run(struct seat *seat, bool preferred)
 	{
 		struct seat_step step = next(seat, preferred);
@@ -84,7 +84,7 @@
 	}
 };
 
-TEST(SeatPart, PartsAddUpToTheCap)
+TEST(SeatQuota, QuotasAddUpToTheCap)
 {
 	for (uint32_t cap : { 0u, 1u, 7u, 100u, 65536u }) {
 		for (uint32_t count : { 1u, 3u, 11u, 100u }) {
@@ -98,7 +98,7 @@
 	}
 }
 
-TEST(SeatHolder, LongOrBlankNamesAreRefused)
+TEST(SeatHolder, TooLongNamesAndNamesWithBlanksAreRejected)
 {
 	std::string longest(SEAT_HOLDER_SIZE - 1, 'h');
 	struct seat *seat = seat_new(longest.c_str(), 1);
@@ -109,7 +109,7 @@
 	EXPECT_EQ(nullptr, seat_new("a b", 1));
 }
 
-TEST_F(Seat, WindowIsExactForAnySecond)
+TEST_F(Seat, NoSecondHasMoreAdmissionsThanTheQuota)
 {
 	run(a, true);
 	EXPECT_EQ(5, admit_all(a));
@@ -129,7 +129,7 @@
 	EXPECT_EQ(9, admit_all(a));
 }
 
-TEST_F(Seat, LeaseCountsFromBeforeTheWriteWasSent)
+TEST_F(Seat, LeaseRunsFromBeforeTheWriteWasSent)
 {
 	struct seat_step step;
 
@@ -143,11 +143,12 @@
 }
 
 /*
- * The write that took the seat lands but its answer is lost; a reader shows
- * it. Counted from the reading, the lease would outlast the others' patience
- * and two nodes would admit a whole part each: the cap is passed.
+ * The write that acquired the seat succeeds but its answer is lost; a read
+ * shows the row. If the lease ran from that read, it would still be valid when
+ * another node may acquire the seat; both would admit a quota and exceed the
+ * cap.
  */
-TEST_F(Seat, LostAnswerIsSettledByReadingAndTheLeaseIsOld)
+TEST_F(Seat, LeaseOfAWriteWithoutAnswerRunsFromItsSending)
 {
 	struct seat_step step;
 	uint64_t sent_us = now_us;
@@ -167,11 +168,11 @@
 }
 
 /*
- * A holder is paused past its lease; another takes the seat. The paused one
- * wakes up unaware with requests at hand: were one admitted, a second would
- * hold two parts of the cap.
+ * A holder is paused beyond the end of its lease and another node acquires the
+ * seat. If the first one admitted a request when it runs again, one second
+ * could have twice the quota.
  */
-TEST_F(Seat, PausedHolderAdmitsNothingAndTheTakerWaitsAWindow)
+TEST_F(Seat, PausedHolderAdmitsNothingAndTheNextOneWaitsAWindow)
 {
 	run(a, true);
 	run(b, false);
@@ -192,7 +193,7 @@
 	EXPECT_EQ(0, admit_all(a));
 }
 
-TEST_F(Seat, OfTwoChallengersAtOnceOneTakesIt)
+TEST_F(Seat, OnlyOneOfTwoConcurrentNodesAcquiresIt)
 {
 	struct seat *c = seat_new("c.1", 5);
 	struct seat_step of_b;
@@ -214,7 +215,7 @@
 	seat_free(c);
 }
 
-TEST_F(Seat, RenewingHolderKeepsItAndABorrowerHandsItBack)
+TEST_F(Seat, HolderThatRenewsKeepsItAndABorrowerReleasesIt)
 {
 	run(a, true);
 	for (int i = 0; i < 200; i++) {
@@ -222,7 +223,7 @@
 		run(b, false);
 		ASSERT_TRUE(seat_is_held(a, now_us));
 	}
-	/* a's VM is replaced; b borrows the seat until the new node is there */
+	/* a's VM is replaced; b holds the seat until the new node is up */
 	run_for(b, false, 8 * second);
 	ASSERT_TRUE(seat_is_held(b, now_us));
 	seat_free(a);
@@ -236,11 +237,11 @@
 }
 
 /*
- * A borrower frees its seat, the write is held up on its way, and a
- * reading still shows the row as its own. Leased again on that, it would admit
- * beside the node that takes the row once the write lands.
+ * A borrower frees its seat, the write is delayed, and a read still shows the
+ * borrower's value. If that gave it a lease again, it would admit at the same
+ * time as the node that acquires the row after the write took effect.
  */
-TEST_F(Seat, HeldUpFreeingWriteGivesNoLeaseBack)
+TEST_F(Seat, ReadBeforeADelayedFreeingWriteGivesNoLease)
 {
 	struct seat_step freeing;
 
@@ -259,11 +260,12 @@
 }
 
 /*
- * A taker's write is held up while it tries again and again, then it lands.
- * The taker no longer knows that write; taken for a renewal of its own row, it
- * would admit within the second of the last holder's admissions.
+ * A node's write to acquire the seat is delayed while it retries many times,
+ * then it succeeds. The node no longer tracks that write. If it took the row
+ * for one that it held already, it would admit in the same second as the last
+ * holder.
  */
-TEST_F(Seat, TakingWriteThatLandsLateStillWaitsAWindow)
+TEST_F(Seat, DelayedAcquiringWriteStillWaitsAWindow)
 {
 	struct seat_step first = {};
 
@@ -288,7 +290,7 @@
 	EXPECT_EQ(5, admit_all(b));
 }
 
-TEST_F(Seat, GivenUpSeatGoesToItsNextHolderAtOnce)
+TEST_F(Seat, ReleasedSeatIsAcquiredAtOnce)
 {
 	run(a, true);
 	EXPECT_EQ(5, admit_all(a));
@@ -303,20 +305,21 @@
 }
 
 /*
- * Everything at once: three nodes whose clocks run slow, by up to a seventh of
- * the lease together, with pauses, answers lost and writes held up. In true
- * time no second may ever hold more admissions than the part.
+ * Random histories of three nodes, two of them with clocks that are slow by up
+ * to 12 % (less than SEAT_CLOCK_DRIFT_US allows for), with pauses, lost answers
+ * and delayed writes. No second of true time may have more admissions than the
+ * quota.
  */
 class SeatHistory : public testing::TestWithParam<int>
 {
 };
 
-struct held_up_write {
-	uint64_t lands_us;
+struct delayed_write {
+	uint64_t arrives_us;
 	struct seat_step step;
 };
 
-TEST_P(SeatHistory, NoSecondHoldsMoreThanThePart)
+TEST_P(SeatHistory, NoSecondHasMoreAdmissionsThanTheQuota)
 {
 	const uint32_t quota = 4;
 	const double rates[] = { 1.0, 0.95, 0.88 };
@@ -324,7 +327,7 @@
 	std::vector<struct seat *> seats;
 	std::vector<uint64_t> paused_until(3);
 	std::deque<uint64_t> admitted;
-	std::vector<held_up_write> held_up;
+	std::vector<delayed_write> delayed;
 	struct row row;
 	int holders = 0;
 	int last_holder = -1;
@@ -333,11 +336,11 @@
 		seats.push_back(seat_new(holder, quota));
 	for (uint64_t true_us = second; true_us < 300 * second;
 	     true_us += 20 * ms) {
-		for (size_t i = 0; i < held_up.size(); i++) {
-			if (true_us < held_up[i].lands_us)
+		for (size_t i = 0; i < delayed.size(); i++) {
+			if (true_us < delayed[i].arrives_us)
 				continue;
-			row.write(held_up[i].step);
-			held_up.erase(held_up.begin() + (long)i--);
+			row.write(delayed[i].step);
+			delayed.erase(delayed.begin() + (long)i--);
 		}
 		for (int i = 0; i < 3; i++) {
 			uint64_t now_us = (uint64_t)(true_us * rates[i]) +
@@ -363,13 +366,13 @@
 			if (step.action != SEAT_WRITE)
 				continue;
 			switch (random() % 8) {
-			case 0: /* lost on its way or held up */
-				held_up.push_back(
+			case 0: /* the write is delayed */
+				delayed.push_back(
 					{ true_us + random() % (9 * second),
 					  step });
 				seat_row_written(seats[i], 0, now_us, now_us);
 				break;
-			case 1: /* its answer is lost */
+			case 1: /* the answer is lost */
 				row.write(step);
 				seat_row_written(seats[i], 0, now_us, now_us);
 				break;
--- a/tests/core/steer_test.cc
+++ b/tests/core/steer_test.cc
@@ -18,7 +18,7 @@
 static const uint64_t one_way_us[PLACES] = { 0, 500, 55 * ms };
 static const uint32_t slots = 16;
 static const uint64_t service_us = 10 * ms;
-static const uint64_t far_us = 120 * ms; /* link and service */
+static const uint64_t far_us = 120 * ms; /* round trip and service */
 static const uint32_t full = 4000;
 
 class Steer : public testing::Test
@@ -113,7 +113,7 @@
 		steer_record(steer, &feedback, now_us);
 	}
 
-	/* Answered as fast as the place can. */
+	/* Record a success with the place's normal latency. */
 	void answer(const struct steer_choice &choice)
 	{
 		learn(choice, RESULT_OK,
@@ -121,8 +121,9 @@
 	}
 
 	/*
-	 * A request each step, after fresh reports of these loads; what was
-	 * sent goes to the handler or is answered. Returns how many were.
+	 * In each of count steps, report these loads of the first places and
+	 * choose a place for one request. Requests that are sent are passed to
+	 * the handler or, without one, answered. Returns the number sent.
 	 */
 	uint32_t
 	run(uint32_t count, uint64_t step_us, std::vector<uint32_t> loads,
@@ -150,7 +151,7 @@
 		return sent;
 	}
 
-	/* As many at the same moment as find a way. */
+	/* Choose at one moment until a request is refused. */
 	std::vector<struct steer_choice> choose_all()
 	{
 		std::vector<struct steer_choice> sent;
@@ -181,7 +182,7 @@
 	}
 };
 
-TEST_F(Steer, HomeThenLeastTimeThenQueueThenRefusal)
+TEST_F(Steer, PrefersHomeThenLeastTimeThenQueueThenRefuses)
 {
 	const struct {
 		const char *what;
@@ -193,12 +194,12 @@
 		{ "all idle", 0, 0, 0, STEER_HOME, HOME, RESULT_OK },
 		{ "home nearly full", 15, 0, 0, STEER_HOME, HOME, RESULT_OK },
 		{ "home full", 32, 8, 0, STEER_LEAST_TIME, NEAR, RESULT_OK },
-		{ "the queue at home is shorter than the way", 18, 18, 0,
+		{ "queueing at home takes less than the link", 18, 18, 0,
 		  STEER_LEAST_TIME, HOME, RESULT_OK },
 		{ "long queues but far away", 400, 400, 0, STEER_LEAST_TIME,
 		  FAR, RESULT_OK },
-		{ "near keeps its reserve", 400, 14, 0, STEER_LEAST_TIME, FAR,
-		  RESULT_OK },
+		{ "near has only reserved slots left", 400, 14, 0,
+		  STEER_LEAST_TIME, FAR, RESULT_OK },
 		{ "queues everywhere", 64, 400, 400, STEER_LAST_RESORT, HOME,
 		  RESULT_OK },
 		{ "all full", full, full, full, STEER_REFUSED, CONFIG_NONE,
@@ -219,7 +220,7 @@
 	}
 }
 
-TEST_F(Steer, TriedDrainedAndTooFarPlacesGetNothing)
+TEST_F(Steer, TriedDrainedAndTooFarPlacesAreNotChosen)
 {
 	const struct {
 		const char *what;
@@ -230,8 +231,13 @@
 	} cases[] = {
 		{ "home tried", { HOME }, {}, second, NEAR, RESULT_OK },
 		{ "home drained", {}, { HOME }, second, NEAR, RESULT_OK },
-		{ "near ones gone", { NEAR }, { HOME }, second, FAR, RESULT_OK },
-		{ "far is too far",
+		{ "home drained, near tried",
+		  { NEAR },
+		  { HOME },
+		  second,
+		  FAR,
+		  RESULT_OK },
+		{ "deadline too short for far",
 		  { HOME, NEAR },
 		  {},
 		  100 * ms,
@@ -285,7 +291,7 @@
 		  SERVICE_BACKGROUND, STEER_HEADROOM, 12 },
 		{ "more slots than configured", 900, 4, 0, true,
 		  SERVICE_INTERACTIVE, STEER_HEADROOM, 12 },
-		{ "as old as can be", 16, 0, STEER_REPORT_MAX_AGE_US, true,
+		{ "oldest fresh report", 16, 0, STEER_REPORT_MAX_AGE_US, true,
 		  SERVICE_INTERACTIVE, STEER_HEADROOM, 8 },
 		{ "the last slot, old", 16, 15, STEER_REPORT_MAX_AGE_US, true,
 		  SERVICE_INTERACTIVE, STEER_HEADROOM, 1 },
@@ -293,7 +299,7 @@
 		  0 },
 		{ "no slots", 0, 0, 0, true, SERVICE_INTERACTIVE, STEER_CLOSED,
 		  0 },
-		{ "absurd", UINT32_MAX, UINT32_MAX, 0, true,
+		{ "largest numbers", UINT32_MAX, UINT32_MAX, 0, true,
 		  SERVICE_INTERACTIVE, STEER_CLOSED, 0 },
 	};
 
@@ -330,7 +336,7 @@
 	EXPECT_EQ(5u, view(HOME).report.in_flight);
 }
 
-TEST_F(Steer, OwnRequestsCountOnceBesideTheReport)
+TEST_F(Steer, OwnRequestsInTheReportAreNotCountedTwice)
 {
 	only(HOME);
 	report(HOME, 0);
@@ -344,10 +350,10 @@
 }
 
 /*
- * A place's reporter is stuck and says "idle" for ever, with the age of today.
- * Believed, it would get every request until callers time out.
+ * A place's reporter hangs and keeps sending new reports of an idle place. By
+ * these alone, the place would get every request until callers time out.
  */
-TEST_F(Steer, OwnRequestsInFlightOutweighALyingReport)
+TEST_F(Steer, OwnRequestsInFlightOverrideAWrongReport)
 {
 	uint32_t sent = 0;
 
@@ -357,10 +363,10 @@
 }
 
 /*
- * A place claims to be idle and refuses what it is sent. Without learning from
- * it each caller would pay a hop to hear "no".
+ * A place reports that it is idle but refuses every request. Unless the
+ * refusals are taken into account, each request costs a hop just to be refused.
  */
-TEST_F(Steer, RefusalsCloseAPlaceUntilItsTimeAndThrottleItBeyond)
+TEST_F(Steer, RefusalsCloseAPlaceUntilRetryAfterAndThrottleIt)
 {
 	const struct {
 		enum result result;
@@ -386,10 +392,10 @@
 }
 
 /*
- * A place reports sixteen slots and has two. Steering by the report alone,
- * every other request goes there to be refused.
+ * A place reports 16 slots and has two. By the report alone, many requests
+ * would be sent there and refused.
  */
-TEST_F(Steer, WindowFindsWhatAPlaceReallyTakes)
+TEST_F(Steer, WindowAdaptsToThePlacesRealCapacity)
 {
 	std::deque<std::pair<uint64_t, struct steer_choice>> running;
 	uint32_t sent = 0;
@@ -413,10 +419,11 @@
 }
 
 /*
- * Reports of a place stop: it is cut off, dead, or only its reporter is.
- * Steering on the last word would send more and more to a place nobody sees.
+ * Reports of a place stop: it is cut off or down, or only its reporter is. By
+ * the last report alone, a growing load would still be sent to a place whose
+ * state is unknown.
  */
-TEST_F(Steer, SilentPlaceGainsNothingAndDecaysToTheFloor)
+TEST_F(Steer, RateToASilentPlaceDecaysToTheFloor)
 {
 	std::vector<uint32_t> per_second;
 	only(FAR);
@@ -430,12 +437,12 @@
 		EXPECT_LE(per_second[s], per_second[4]) << s;
 	EXPECT_LE(per_second[19], STEER_SILENT_FLOOR_PER_S + 1u);
 	EXPECT_GE(per_second[19], STEER_SILENT_FLOOR_PER_S - 1u);
-	/* All entry nodes hear of it again at once: they return in steps. */
+	/* All entry nodes get its next report at once, hence slow start. */
 	report(FAR, 0);
 	EXPECT_EQ(1u, choose_all().size());
 }
 
-TEST_F(Steer, FewLostReportsAreNoReturnInSteps)
+TEST_F(Steer, FewLostReportsCauseNoSlowStart)
 {
 	only(HOME);
 	run(100, ms, { 0 });
@@ -446,10 +453,11 @@
 }
 
 /*
- * A place fails, comes back and fails again, over and over. Each return that
- * took the full load at once would cost as many failed requests as the first.
+ * A place fails, recovers and fails again, over and over. If it got the full
+ * load at once after each recovery, each failure would cost as many failed
+ * requests as the first.
  */
-TEST_F(Steer, FlappingPlaceLeavesFastAndReturnsInSteps)
+TEST_F(Steer, FlappingPlaceIsLeftFastAndGetsSlowStart)
 {
 	only(HOME);
 	for (int flap = 0; flap < 6; flap++) {
@@ -465,7 +473,7 @@
 	}
 }
 
-TEST_F(Steer, ReturnTakesOneTwoFourRequestsAtATime)
+TEST_F(Steer, SlowStartAllowsOneTwoFourRequestsInFlight)
 {
 	only(HOME);
 	fail_home();
@@ -484,7 +492,7 @@
 	}
 }
 
-TEST_F(Steer, WhatCountsAsThePlacesFailure)
+TEST_F(Steer, OnlySomeResultsMakeAPlaceFailing)
 {
 	const struct {
 		const char *what;
@@ -492,13 +500,13 @@
 		uint64_t latency_us;
 		bool failing;
 	} cases[] = {
-		{ "every other one fails", RESULT_CONNECT_FAILED, RESULT_OK, ms,
-		  true },
-		{ "callers with little time", RESULT_TIMED_OUT,
-		  RESULT_TIMED_OUT, service_us, false },
-		{ "no answer in a long time", RESULT_TIMED_OUT,
+		{ "every second request fails", RESULT_CONNECT_FAILED,
+		  RESULT_OK, ms, true },
+		{ "short deadlines", RESULT_TIMED_OUT, RESULT_TIMED_OUT,
+		  service_us, false },
+		{ "time-outs after a long time", RESULT_TIMED_OUT,
 		  RESULT_TIMED_OUT, second, true },
-		{ "the callers' fault", RESULT_BAD_REQUEST,
+		{ "errors of the callers", RESULT_BAD_REQUEST,
 		  RESULT_TICKET_ELSEWHERE, ms, false },
 	};
 
@@ -518,7 +526,7 @@
 	}
 }
 
-TEST_F(Steer, LateAnswerFromBeforeDoesNotEndAFailure)
+TEST_F(Steer, AnswerToAnOlderRequestDoesNotEndAFailure)
 {
 	only(HOME);
 	report(HOME, 0);
@@ -530,10 +538,11 @@
 }
 
 /*
- * A certificate tried on a place that just failed may end with an unknown
- * outcome. It isn't the one to find out whether the place is back.
+ * A non-idempotent request that is sent to a place that just failed may end
+ * with an unknown outcome, so it isn't used to test whether the place has
+ * recovered.
  */
-TEST_F(Steer, NonIdempotentRequestsAreNoTrialsOfAPlaceUnheardOf)
+TEST_F(Steer, NonIdempotentRequestsAreNoTrialsBeforeANewReport)
 {
 	only(HOME);
 	fail_home();
@@ -544,10 +553,10 @@
 }
 
 /*
- * A whole region dies while the near ones are full: callers see a few failures
- * until steering stops sending them there, and a trial now and then after.
+ * A whole region goes down while the near places are full: a few requests fail
+ * until steering stops sending them there, then only trials do.
  */
-TEST_F(Steer, DeadRegionGetsTrialsOnly)
+TEST_F(Steer, RegionThatIsDownGetsTrialsOnly)
 {
 	report(FAR, 0);
 	EXPECT_LE(run(30000, ms, { full, full },
@@ -558,7 +567,7 @@
 		  12u);
 }
 
-TEST_F(Steer, SlowHomeGivesWayAndIsTriedAgain)
+TEST_F(Steer, SlowHomeIsAvoidedAndTriedAgainLater)
 {
 	uint32_t home = 0;
 
@@ -574,7 +583,7 @@
 	EXPECT_EQ(HOME, choose().place);
 }
 
-TEST_F(Steer, LinkCarriesNoMoreThanItsLimit)
+TEST_F(Steer, RequestsOverALinkStayWithinItsLimit)
 {
 	const struct {
 		uint32_t near_link, far_link, limits;
@@ -594,12 +603,12 @@
 }
 
 /*
- * A place is inserted into the configuration before one that fails. What was
- * learned must stay with the place it was learned of, or callers go to the
- * failing one as if it were new. Feedback of what was in flight names the old
- * index: counted on, those requests would fill the place for ever.
+ * A place is inserted into the configuration before one that fails, which
+ * changes the failing one's index. Its learned state must follow it, or
+ * requests go there as if it were new. Feedback for requests in flight names
+ * the old index: if they stayed counted, the place would look full for ever.
  */
-TEST_F(Steer, LearnedStaysWithTheNameWhenIndicesMove)
+TEST_F(Steer, LearnedStateFollowsTheNameWhenIndicesChange)
 {
 	report_all(0, full, full);
 	for (uint32_t i = 0; i < slots; i++)
@@ -619,11 +628,11 @@
 }
 
 /*
- * Entry nodes get the same reports at the same moment and steer by them until
- * the next ones. Were each to fill the one best place, it would be asked for
- * many times its headroom while the others idle.
+ * Entry nodes get the same reports at the same moment and act on them until the
+ * next ones. If all of them chose the one best place, it would get many times
+ * its headroom while the others are idle.
  */
-TEST(SteerHerd, NodesWithOneStaleViewSpreadByHeadroom)
+TEST(SteerHerd, NodesWithTheSameReportsSpreadByHeadroom)
 {
 	const uint32_t node_count = 10;
 	const uint32_t free_slots[] = { 0, 40, 20, 20 };
@@ -686,7 +695,7 @@
 		EXPECT_LE(shifted[s], 2 * shifted[s - 1] + 20) << s;
 	EXPECT_NEAR(500, shifted[19], 60);
 	EXPECT_EQ(500u, share());
-	/* Refused elsewhere, a request isn't shifted but goes home. */
+	/* After a refusal elsewhere a request isn't shifted but goes home. */
 	for (int i = 0; i < 50; i++) {
 		struct steer_choice choice = choose({ NEAR });
 
@@ -695,7 +704,7 @@
 	}
 }
 
-TEST_F(Steer, RampStandsStillWithoutAnswersOrRoom)
+TEST_F(Steer, RampDoesNotGrowWithoutAnswersOrHeadroom)
 {
 	shift(500, 60000);
 	run(20, second, { 0, 0, 0 }, [&](auto &choice) {
@@ -709,7 +718,7 @@
 	EXPECT_EQ(500u, share());
 }
 
-TEST_F(Steer, FarPlaceThatAnswersSoonerThanASlowNearOne)
+TEST_F(Steer, FarPlaceIsChosenWhenFasterThanASlowNearOne)
 {
 	report(HOME, full);
 	report(NEAR, 0, 0, 200 * ms);
@@ -718,11 +727,11 @@
 }
 
 /*
- * A shift moves callers onto caches that don't know them: their first requests
- * there are slow. Pushed on regardless, the slow ones fill all slots and the
- * place's own callers wait as well.
+ * A shift moves callers to a place whose caches are cold for them: their first
+ * requests there are slow. If the share grew all the same, slow requests would
+ * fill all slots and the place's own callers would have to wait.
  */
-TEST_F(Steer, RampWaitsForColdCaches)
+TEST_F(Steer, RampDoesNotGrowWhileCachesAreCold)
 {
 	uint32_t most_cold_share = 0;
 	uint32_t shifted = 0;
@@ -743,10 +752,11 @@
 }
 
 /*
- * The same, and so many entry nodes push on that the place's own callers turn
- * slow: its report calls that usual, and the ramp must not believe it.
+ * As before, but shifted requests of other entry nodes slow down the place's
+ * own callers, too. The service time in its reports rises then, and the ramp
+ * must not take that for the base latency.
  */
-TEST_F(Steer, RampDoesNotTakeASlowedPlacesTimeForUsual)
+TEST_F(Steer, RampDoesNotTakeASlowedPlacesLatencyAsBase)
 {
 	shift(800, 60000);
 	for (int i = 0; i < 20000; i++) {
@@ -759,7 +769,7 @@
 	EXPECT_LE(share(), 30u);
 }
 
-TEST_F(Steer, ShiftFallsBackAtOnce)
+TEST_F(Steer, ShareIsCutAtOnce)
 {
 	const struct {
 		const char *what;
@@ -770,7 +780,7 @@
 		{ "slow", RESULT_OK, 400 * ms, 0, 200 },
 		{ "overload", RESULT_OVERLOAD, ms, 0, 200 },
 		{ "cap", RESULT_SHIFT_CAP, ms, 0, 560 },
-		{ "dead", RESULT_CONNECT_FAILED, ms, 0, 20 },
+		{ "down", RESULT_CONNECT_FAILED, ms, 0, 20 },
 		{ "silent", RESULT_OK, far_us, 2 * STEER_REPORT_MAX_AGE_US,
 		  20 },
 	};
@@ -796,11 +806,11 @@
 }
 
 /*
- * The cap is passed at the receiving place, whose gate counts all entry nodes'
- * requests; one is refused there. It must be answered at home, not lost, and
- * the entry node must ask for less, or a hop is wasted on every second request.
+ * The requests of all entry nodes together exceed the cap, so the receiving
+ * place refuses some. A refused request must be answered at home, and the entry
+ * node must lower its share, or a hop is wasted on every second request.
  */
-TEST_F(Steer, CapRefusalGoesHomeAndTheShareSettlesUnderTheCap)
+TEST_F(Steer, RequestRefusedByTheCapGoesHomeAndTheShareAdapts)
 {
 	const uint32_t cap_for_this_node = 100;
 	std::deque<uint64_t> admitted;
@@ -832,7 +842,7 @@
 	EXPECT_LE(refused, shifted / 100);
 }
 
-TEST_F(Steer, CapThatNamesATimeIsNotAskedBefore)
+TEST_F(Steer, NothingIsShiftedBeforeTheCapsRetryAfter)
 {
 	shift(1000, 60000);
 	report_all(0, 0, 0);
@@ -849,7 +859,7 @@
 	});
 }
 
-TEST_F(Steer, SpillToAShiftsPlaceCountsUnderItsCap)
+TEST_F(Steer, OverflowToAShiftsPlaceCountsAgainstItsCap)
 {
 	shift(100, 20);
 	uint32_t spilled = run(10000, ms, { full, full, 0 }, [&](auto &choice) {
--- a/tests/core/ticket_test.cc
+++ b/tests/core/ticket_test.cc
@@ -23,7 +23,7 @@
 {
 };
 
-TEST_P(TicketParse, TakesOnlyWhatFormatWrites)
+TEST_P(TicketParse, AcceptsOnlyTextsThatFormatWrites)
 {
 	const parse_case &c = GetParam();
 	struct ticket ticket;
@@ -53,13 +53,14 @@
 		parse_case{ "name too long", longest_name + "n:1:2:3:4",
 			    RESULT_TICKET_MALFORMED },
 		parse_case{ "name only", "entry-1", RESULT_TICKET_MALFORMED },
-		parse_case{ "a field less", "a:1:2:3",
+		parse_case{ "one field missing", "a:1:2:3",
 			    RESULT_TICKET_MALFORMED },
-		parse_case{ "a field more", "a:1:2:3:4:5",
+		parse_case{ "one field too many", "a:1:2:3:4:5",
 			    RESULT_TICKET_MALFORMED },
 		parse_case{ "empty field", "a:1::3:4",
 			    RESULT_TICKET_MALFORMED },
-		parse_case{ "empty last", "a:1:2:3:", RESULT_TICKET_MALFORMED },
+		parse_case{ "empty last field",
+			    "a:1:2:3:", RESULT_TICKET_MALFORMED },
 		parse_case{ "overflow", "a:g000000000000:2:3:4",
 			    RESULT_TICKET_MALFORMED },
 		parse_case{ "too many digits", "a:10000000000000:2:3:4",
@@ -68,7 +69,7 @@
 			    RESULT_TICKET_MALFORMED },
 		parse_case{ "upper case", "a:1:2:3:A",
 			    RESULT_TICKET_MALFORMED },
-		parse_case{ "past the digits", "a:1:2:3:w",
+		parse_case{ "invalid digit", "a:1:2:3:w",
 			    RESULT_TICKET_MALFORMED },
 		parse_case{ "sign", "a:+1:2:3:4", RESULT_TICKET_MALFORMED },
 		parse_case{ "minus", "a:1:2:3:-4", RESULT_TICKET_MALFORMED },
@@ -83,7 +84,7 @@
 		parse_case{ "high bytes", "\xc3\xb1:1:2:3:4",
 			    RESULT_TICKET_MALFORMED }));
 
-TEST(Ticket, LargestFits)
+TEST(Ticket, LongestTextFits)
 {
 	struct ticket ticket = {};
 	char text[ID_SIZE];
@@ -95,7 +96,7 @@
 	EXPECT_LT(strlen(text), (size_t)ID_SIZE);
 }
 
-TEST(Ticket, EpochsAcceptedAreTheLastKept)
+TEST(Ticket, AcceptsTheMostRecentEpochs)
 {
 	const struct {
 		uint64_t epoch, current;
