--- a/packages/core/seat.h
+++ b/packages/core/seat.h
@@ -19,7 +19,7 @@
  * read; if it has the write's nonce, the lease runs from when that write was
  * sent.
  *
- * Each seat is preferred by one node. Another node that holds it releases it
+ * Each seat has one preferred node. Another node that holds it releases it
  * after SEAT_BORROW_MAX_US, so that the preferred node gets it back.
  *
  * now_us must come from a clock that runs on while the machine is suspended,
