--- a/packages/core/admin.c
+++ b/packages/core/admin.c
@@ -72,7 +72,7 @@
 {
 	json_error_t json_error;
 	json_t *root;
-	bool good;
+	bool ok;
 
 	memset(request, 0, sizeof(*request));
 	if (len > ADMIN_REQUEST_MAX_BYTES)
@@ -85,11 +85,11 @@
 			    json_error.text);
 		return false;
 	}
-	good = read_members(request, root, error);
+	ok = read_members(request, root, error);
 	json_decref(root);
-	if (!good)
+	if (!ok)
 		admin_request_release(request);
-	return good;
+	return ok;
 }
 
 void admin_request_release(struct admin_request *request)
@@ -98,7 +98,7 @@
 	request->document = NULL;
 }
 
-static json_t *load_document(const char *text, GError **error)
+static json_t *parse_document(const char *text, GError **error)
 {
 	json_error_t json_error;
 	json_t *document;
@@ -117,7 +117,7 @@
 	json_t *root;
 
 	if (request->document) {
-		document = load_document(request->document, error);
+		document = parse_document(request->document, error);
 		if (!document)
 			return NULL;
 	}
@@ -131,26 +131,26 @@
 				    admin_json_number(request->expect));
 	if (document)
 		json_object_set_new(root, "document", document);
-	return admin_json_take_text(root);
+	return admin_json_to_text(root);
 }
 
 char *admin_answer_error(enum result code, const char *message,
 			 uint64_t retry_after_us)
 {
-	json_t *root = admin_json_new(code, message);
+	json_t *root = admin_json_new_answer(code, message);
 
 	if (retry_after_us)
 		json_object_set_new(root, "retry_after_us",
 				    admin_json_number(retry_after_us));
-	return admin_json_take_text(root);
+	return admin_json_to_text(root);
 }
 
 char *admin_answer_command(uint64_t version, const char *command_id,
 			   const char *message)
 {
-	json_t *root = admin_json_new(RESULT_OK, message);
+	json_t *root = admin_json_new_answer(RESULT_OK, message);
 
 	json_object_set_new(root, "id", admin_json_text(command_id));
 	json_object_set_new(root, "version", admin_json_number(version));
-	return admin_json_take_text(root);
+	return admin_json_to_text(root);
 }
--- a/packages/core/admin.h
+++ b/packages/core/admin.h
@@ -39,19 +39,19 @@
 };
 
 /* What the answering node knows of one service at one place. */
-struct admin_place {
+struct admin_place_status {
 	uint32_t service; /* index in the configuration */
 	struct steer_place_view view;
 };
 
 /* What the answering node knows of a backend server of its own place. */
-struct admin_backend {
+struct admin_backend_status {
 	uint32_t backend; /* index in the configuration */
 	struct gate_backend_view view;
 };
 
 /* What a node has last said of itself; the answering node is one of them. */
-struct admin_node {
+struct admin_node_status {
 	uint32_t node; /* index in the configuration */
 	uint64_t config_version;
 	uint64_t report_age_us; /* 0 for the answering node itself */
@@ -59,10 +59,10 @@
 };
 
 /* Live inputs; what an array doesn't list counts as not known. */
-struct admin_live {
-	const struct admin_place *places;
-	const struct admin_backend *backends;
-	const struct admin_node *nodes;
+struct admin_live_state {
+	const struct admin_place_status *places;
+	const struct admin_backend_status *backends;
+	const struct admin_node_status *nodes;
 	const uint32_t *shift_shares_permille; /* ramped, as config->shifts;
 						  NULL: not known */
 	const struct steer_choice *choice; /* of a request made up for where;
@@ -98,7 +98,7 @@
  * RESULT_UNKNOWN_NAME on failure.
  */
 char *admin_answer_query(const struct config *config, const struct query *query,
-			 const struct admin_live *live, GError **error);
+			 const struct admin_live_state *live, GError **error);
 
 #ifdef __cplusplus
 }
--- a/packages/core/admin_json.c
+++ b/packages/core/admin_json.c
@@ -16,7 +16,7 @@
 	return value;
 }
 
-json_t *admin_json_new(enum result code, const char *message)
+json_t *admin_json_new_answer(enum result code, const char *message)
 {
 	json_t *root = json_object();
 
@@ -26,7 +26,7 @@
 	return root;
 }
 
-char *admin_json_take_text(json_t *root)
+char *admin_json_to_text(json_t *root)
 {
 	char *text = json_dumps(root, JSON_COMPACT);
 
@@ -34,17 +34,17 @@
 	return text;
 }
 
-json_t *admin_json_number_if(bool known, uint64_t value)
+json_t *admin_json_number_or_null(bool known, uint64_t value)
 {
 	return known ? admin_json_number(value) : json_null();
 }
 
-json_t *admin_json_boolean_if(bool known, bool value)
+json_t *admin_json_boolean_or_null(bool known, bool value)
 {
 	return known ? json_boolean(value) : json_null();
 }
 
-json_t *admin_json_time_us(uint64_t value_us)
+json_t *admin_json_time_us_or_null(uint64_t value_us)
 {
-	return admin_json_number_if(value_us != UINT64_MAX, value_us);
+	return admin_json_number_or_null(value_us != UINT64_MAX, value_us);
 }
--- a/packages/core/admin_json.h
+++ b/packages/core/admin_json.h
@@ -15,10 +15,10 @@
 #endif
 
 /* An object with "result", "name" and "message". */
-json_t *admin_json_new(enum result code, const char *message);
+json_t *admin_json_new_answer(enum result code, const char *message);
 
 /* The object as text for g_free(); the object is released. */
-char *admin_json_take_text(json_t *root);
+char *admin_json_to_text(json_t *root);
 
 /* A number, at most INT64_MAX as JSON holds it. */
 json_t *admin_json_number(uint64_t value);
@@ -27,11 +27,11 @@
 json_t *admin_json_text(const char *text);
 
 /* A value that may not be known: null then. */
-json_t *admin_json_number_if(bool known, uint64_t value);
-json_t *admin_json_boolean_if(bool known, bool value);
+json_t *admin_json_number_or_null(bool known, uint64_t value);
+json_t *admin_json_boolean_or_null(bool known, bool value);
 
 /* An age or an expected time, of which UINT64_MAX means that there is none. */
-json_t *admin_json_time_us(uint64_t value_us);
+json_t *admin_json_time_us_or_null(uint64_t value_us);
 
 #ifdef __cplusplus
 }
--- a/packages/core/admin_table.c
+++ b/packages/core/admin_table.c
@@ -24,7 +24,8 @@
 	json_array_append_new(table->rows, row);
 }
 
-void admin_table_move(json_t *root, struct admin_table *table, uint64_t version)
+void admin_table_move_into(json_t *root, struct admin_table *table,
+			   uint64_t version)
 {
 	json_t *columns = json_array();
 	size_t i;
@@ -40,39 +41,40 @@
  * What several answers are made from
  */
 
-bool *admin_find_hosts(const struct config *config, uint32_t service)
+bool *admin_find_service_places(const struct config *config, uint32_t service)
 {
-	bool *hosts = g_new0(bool, config->place_count + 1);
+	bool *service_places = g_new0(bool, config->place_count + 1);
 	uint32_t i;
 
 	for (i = 0; i < config->backend_count; i++)
 		if (config->backends[i].service == service)
-			hosts[config->backends[i].place] = true;
-	return hosts;
+			service_places[config->backends[i].place] = true;
+	return service_places;
 }
 
-uint32_t admin_share_now(const struct admin_question *question, uint32_t shift)
+uint32_t admin_current_share_permille(const struct admin_query_context *context,
+				      uint32_t shift)
 {
-	const struct admin_live *live = question->live;
+	const struct admin_live_state *live = context->live;
 
 	if (live->shift_shares_permille)
 		return live->shift_shares_permille[shift];
-	return question->config->shifts[shift].share_permille;
+	return context->config->shifts[shift].share_permille;
 }
 
-static json_t *answer_query(const struct admin_question *question,
+static json_t *answer_query(const struct admin_query_context *context,
 			    GError **error)
 {
-	switch (question->query->verb) {
+	switch (context->query->verb) {
 	case QUERY_WHERE:
-		return admin_where(question, error);
+		return admin_where(context, error);
 	case QUERY_SHOW_PLACES:
 	case QUERY_SHOW_NODES:
 	case QUERY_SHOW_BACKENDS:
 	case QUERY_SHOW_SERVICES:
 	case QUERY_SHOW_SHIFTS:
 	case QUERY_SHOW_VERSION:
-		return admin_show(question, error);
+		return admin_show(context, error);
 	default:
 		g_set_error_literal(error, RESULT_ERROR, RESULT_UNKNOWN_NAME,
 				    "this kind of node has no such table");
@@ -81,10 +83,10 @@
 }
 
 char *admin_answer_query(const struct config *config, const struct query *query,
-			 const struct admin_live *live, GError **error)
+			 const struct admin_live_state *live, GError **error)
 {
-	const struct admin_question question = { config, query, live };
-	json_t *root = answer_query(&question, error);
+	const struct admin_query_context context = { config, query, live };
+	json_t *root = answer_query(&context, error);
 
-	return root ? admin_json_take_text(root) : NULL;
+	return root ? admin_json_to_text(root) : NULL;
 }
--- a/packages/core/admin_table.h
+++ b/packages/core/admin_table.h
@@ -22,10 +22,10 @@
 };
 
 /* Everything that a query's answer is built from. */
-struct admin_question {
+struct admin_query_context {
 	const struct config *config;
 	const struct query *query;
-	const struct admin_live *live;
+	const struct admin_live_state *live;
 };
 
 struct admin_table admin_table_new(const char *const *columns,
@@ -44,17 +44,18 @@
 	} while (0)
 
 /* Move the table into an answer. */
-void admin_table_move(json_t *root, struct admin_table *table,
-		      uint64_t version);
+void admin_table_move_into(json_t *root, struct admin_table *table,
+			   uint64_t version);
 
 /* For each place whether it has backend servers of the service; g_free(). */
-bool *admin_find_hosts(const struct config *config, uint32_t service);
+bool *admin_find_service_places(const struct config *config, uint32_t service);
 
 /* Share that the shift takes now, or else the whole that it is ramped to. */
-uint32_t admin_share_now(const struct admin_question *question, uint32_t shift);
+uint32_t admin_current_share_permille(const struct admin_query_context *context,
+				      uint32_t shift);
 
 /* The answer to each kind of question; NULL and an error on failure. */
-json_t *admin_show(const struct admin_question *question, GError **error);
-json_t *admin_where(const struct admin_question *question, GError **error);
+json_t *admin_show(const struct admin_query_context *context, GError **error);
+json_t *admin_where(const struct admin_query_context *context, GError **error);
 
 #endif
--- a/packages/core/admin_where.c
+++ b/packages/core/admin_where.c
@@ -2,8 +2,8 @@
 
 #include "core/admin_json.h"
 
-struct where {
-	const struct admin_question *question;
+struct where_query {
+	const struct admin_query_context *context;
 	const struct steer_choice *choice;
 	uint32_t service;
 	uint32_t from;
@@ -17,7 +17,7 @@
 };
 
 static const struct steer_place_view *
-find_view(const struct admin_live *live, uint32_t service, uint32_t place)
+find_view(const struct admin_live_state *live, uint32_t service, uint32_t place)
 {
 	uint32_t i;
 
@@ -28,10 +28,10 @@
 	return NULL;
 }
 
-static json_t *shifts_to(const struct where *where, uint32_t place,
-			 uint64_t *permille)
+static json_t *list_shifts_to(const struct where_query *where_query,
+			      uint32_t place, uint64_t *permille)
 {
-	const struct config *config = where->question->config;
+	const struct config *config = where_query->context->config;
 	json_t *ids = json_array();
 	uint32_t i;
 
@@ -39,46 +39,49 @@
 	for (i = 0; i < config->shift_count; i++) {
 		const struct config_shift *shift = &config->shifts[i];
 
-		if (shift->service != where->service ||
-		    shift->from != where->from || shift->to != place)
+		if (shift->service != where_query->service ||
+		    shift->from != where_query->from || shift->to != place)
 			continue;
 		json_array_append_new(ids, json_string(shift->id));
-		*permille += admin_share_now(where->question, i);
+		*permille +=
+			admin_current_share_permille(where_query->context, i);
 	}
 	return ids;
 }
 
-static void add_where_row(struct admin_table *table, const struct where *where,
-			  uint32_t place)
+static void add_where_row(struct admin_table *table,
+			  const struct where_query *where_query, uint32_t place)
 {
 	static const struct steer_place_view unknown = { .report_age_us =
 								 UINT64_MAX };
-	const struct config *config = where->question->config;
-	const struct steer_place_view *live =
-		find_view(where->question->live, where->service, place);
+	const struct config *config = where_query->context->config;
+	const struct steer_place_view *live = find_view(
+		where_query->context->live, where_query->service, place);
 	const struct steer_place_view *view = live ? live : &unknown;
 	const struct gate_summary *report = &view->report;
 	bool reported = view->report_age_us != UINT64_MAX;
-	bool chosen = where->choice->place == place;
+	bool chosen = where_query->choice->place == place;
 	uint64_t permille;
-	json_t *shifts = shifts_to(where, place, &permille);
+	json_t *shifts = list_shifts_to(where_query, place, &permille);
 	json_t *const values[] = {
 		json_string(config->places[place].name),
 		json_string(config->places[place].region),
 		json_boolean(chosen),
-		chosen ? json_string(steer_rule_name(where->choice->rule)) :
+		chosen ? json_string(
+				 steer_rule_name(where_query->choice->rule)) :
 			 json_null(),
-		live ? admin_json_time_us(view->expected_us) : json_null(),
-		admin_json_number_if(live, view->one_way_us),
-		admin_json_number_if(reported, report->slots),
-		admin_json_number_if(reported, report->in_flight),
-		admin_json_number_if(reported, report->waiting),
-		admin_json_number_if(reported, report->service_us),
-		admin_json_number_if(reported && report->slots,
-				     report->wait_us),
-		admin_json_time_us(view->report_age_us),
+		live ? admin_json_time_us_or_null(view->expected_us) :
+		       json_null(),
+		admin_json_number_or_null(live, view->one_way_us),
+		admin_json_number_or_null(reported, report->slots),
+		admin_json_number_or_null(reported, report->in_flight),
+		admin_json_number_or_null(reported, report->waiting),
+		admin_json_number_or_null(reported, report->service_us),
+		admin_json_number_or_null(reported && report->slots,
+					  report->wait_us),
+		admin_json_time_us_or_null(view->report_age_us),
 		json_boolean(config->places[place].drained),
-		admin_json_boolean_if(live, view->failing),
+		admin_json_boolean_or_null(live, view->failing),
 		admin_json_number(permille),
 		shifts,
 	};
@@ -86,15 +89,16 @@
 	ADMIN_TABLE_ADD(table, where_columns, values);
 }
 
-static char *explain_shift(const struct where *where, const char *place)
+static char *describe_shift(const struct where_query *where_query,
+			    const char *place)
 {
-	const struct config *config = where->question->config;
-	uint32_t shift = where->choice->shift;
+	const struct config *config = where_query->context->config;
+	uint32_t shift = where_query->choice->shift;
 	uint32_t share;
 
 	if (shift >= config->shift_count)
 		return g_strdup_printf("a shift sends it to %s", place);
-	share = admin_share_now(where->question, shift);
+	share = admin_current_share_permille(where_query->context, shift);
 	return g_strdup_printf("shift %s sends its share, %u.%u%% now, to %s",
 			       config->shifts[shift].id,
 			       share / QUERY_PERMILLE_PER_PERCENT,
@@ -102,14 +106,14 @@
 }
 
 /* The rule that decided, as a sentence for g_free(). */
-static char *explain(const struct where *where)
+static char *describe_choice(const struct where_query *where_query)
 {
-	const struct config *config = where->question->config;
-	const struct steer_choice *choice = where->choice;
-	const char *home = config->places[where->from].name;
+	const struct config *config = where_query->context->config;
+	const struct steer_choice *choice = where_query->choice;
+	const char *home = config->places[where_query->from].name;
 	const char *place;
 
-	if (config->services[where->service].stopped)
+	if (config->services[where_query->service].stopped)
 		return g_strdup("refused: the service is stopped");
 	if (choice->rule == STEER_REFUSED ||
 	    choice->place >= config->place_count)
@@ -125,7 +129,7 @@
 				       "the least expected time",
 				       home, place);
 	case STEER_SHIFT:
-		return explain_shift(where, place);
+		return describe_shift(where_query, place);
 	default:
 		return g_strdup_printf("no place is known to have headroom; "
 				       "%s is tried",
@@ -133,43 +137,46 @@
 	}
 }
 
-static json_t *where_answer(const struct where *where)
+static json_t *build_where_answer(const struct where_query *where_query)
 {
-	const struct config *config = where->question->config;
+	const struct config *config = where_query->context->config;
 	struct admin_table table = ADMIN_TABLE_NEW(where_columns);
-	char *message = explain(where);
-	json_t *root = admin_json_new(RESULT_OK, message);
-	bool *hosts = admin_find_hosts(config, where->service);
+	char *message = describe_choice(where_query);
+	json_t *root = admin_json_new_answer(RESULT_OK, message);
+	bool *service_places =
+		admin_find_service_places(config, where_query->service);
 	uint32_t i;
 
 	for (i = 0; i < config->place_count; i++)
-		if (hosts[i])
-			add_where_row(&table, where, i);
-	json_object_set_new(root, "rule",
-			    json_string(steer_rule_name(where->choice->rule)));
-	admin_table_move(root, &table, config->version);
-	g_free(hosts);
+		if (service_places[i])
+			add_where_row(&table, where_query, i);
+	json_object_set_new(
+		root, "rule",
+		json_string(steer_rule_name(where_query->choice->rule)));
+	admin_table_move_into(root, &table, config->version);
+	g_free(service_places);
 	g_free(message);
 	return root;
 }
 
-json_t *admin_where(const struct admin_question *question, GError **error)
+json_t *admin_where(const struct admin_query_context *context, GError **error)
 {
-	const struct query *query = question->query;
-	struct where where = { question, question->live->choice, 0, 0 };
+	const struct query *query = context->query;
+	struct where_query where_query = { context, context->live->choice, 0,
+					   0 };
 
-	where.service = query_find(question->config, OBJECT_SERVICE,
-				   query->service, error);
-	if (where.service == CONFIG_NONE)
+	where_query.service = query_find_entity(
+		context->config, QUERY_ENTITY_SERVICE, query->service, error);
+	if (where_query.service == CONFIG_NONE)
 		return NULL;
-	where.from =
-		query_find(question->config, OBJECT_PLACE, query->from, error);
-	if (where.from == CONFIG_NONE)
+	where_query.from = query_find_entity(
+		context->config, QUERY_ENTITY_PLACE, query->from, error);
+	if (where_query.from == CONFIG_NONE)
 		return NULL;
-	if (!where.choice) {
+	if (!where_query.choice) {
 		g_set_error_literal(error, RESULT_ERROR, RESULT_INTERNAL,
 				    "no choice was made for the question");
 		return NULL;
 	}
-	return where_answer(&where);
+	return build_where_answer(&where_query);
 }
--- a/packages/core/config.c
+++ b/packages/core/config.c
@@ -112,8 +112,8 @@
 }
 
 /* Items begin with their name or id. */
-static uint32_t find(const void *items, uint32_t count, size_t item_size,
-		     const char *name)
+static uint32_t find_item(const void *items, uint32_t count, size_t item_size,
+			  const char *name)
 {
 	const char *item = items;
 	uint32_t i;
@@ -126,38 +126,38 @@
 
 uint32_t config_find_service(const struct config *config, const char *name)
 {
-	return find(config->services, config->service_count,
-		    sizeof(*config->services), name);
+	return find_item(config->services, config->service_count,
+			 sizeof(*config->services), name);
 }
 
 uint32_t config_find_place(const struct config *config, const char *name)
 {
-	return find(config->places, config->place_count,
-		    sizeof(*config->places), name);
+	return find_item(config->places, config->place_count,
+			 sizeof(*config->places), name);
 }
 
 uint32_t config_find_node(const struct config *config, const char *name)
 {
-	return find(config->nodes, config->node_count, sizeof(*config->nodes),
-		    name);
+	return find_item(config->nodes, config->node_count,
+			 sizeof(*config->nodes), name);
 }
 
 uint32_t config_find_backend(const struct config *config, const char *name)
 {
-	return find(config->backends, config->backend_count,
-		    sizeof(*config->backends), name);
+	return find_item(config->backends, config->backend_count,
+			 sizeof(*config->backends), name);
 }
 
 uint32_t config_find_shift(const struct config *config, const char *id)
 {
-	return find(config->shifts, config->shift_count,
-		    sizeof(*config->shifts), id);
+	return find_item(config->shifts, config->shift_count,
+			 sizeof(*config->shifts), id);
 }
 
 uint64_t config_find_command(const struct config *config, const char *id)
 {
-	uint32_t index = find(config->commands, config->command_count,
-			      sizeof(*config->commands), id);
+	uint32_t index = find_item(config->commands, config->command_count,
+				   sizeof(*config->commands), id);
 
 	return index == CONFIG_NONE ? 0 : config->commands[index].version;
 }
@@ -165,22 +165,22 @@
 void config_add_command(struct config *config, const char *id)
 {
 	struct config_command *commands;
-	uint32_t kept = config->command_count;
+	uint32_t count = config->command_count;
 
-	if (kept == CONFIG_COMMANDS_KEPT) {
-		kept--;
+	if (count == CONFIG_COMMANDS_KEPT) {
+		count--;
 		memmove(config->commands, config->commands + 1,
-			kept * sizeof(*config->commands));
+			count * sizeof(*config->commands));
 	}
-	commands = g_renew(struct config_command, config->commands, kept + 1);
-	memset(&commands[kept], 0, sizeof(commands[kept]));
-	g_strlcpy(commands[kept].id, id, ID_SIZE);
-	commands[kept].version = config->version + 1;
+	commands = g_renew(struct config_command, config->commands, count + 1);
+	memset(&commands[count], 0, sizeof(commands[count]));
+	g_strlcpy(commands[count].id, id, ID_SIZE);
+	commands[count].version = config->version + 1;
 	config->commands = commands;
-	config->command_count = kept + 1;
+	config->command_count = count + 1;
 }
 
-uint32_t config_seats_for(const struct config *config, uint32_t place)
+uint32_t config_default_seats(const struct config *config, uint32_t place)
 {
 	uint32_t nodes = 0;
 	uint32_t i;
--- a/packages/core/config.h
+++ b/packages/core/config.h
@@ -145,7 +145,7 @@
 void config_add_command(struct config *config, const char *id);
 
 /* Seats for a new shift to the place: one for each node that takes work. */
-uint32_t config_seats_for(const struct config *config, uint32_t place);
+uint32_t config_default_seats(const struct config *config, uint32_t place);
 
 /* Append a shift or take one away by index. */
 void config_add_shift(struct config *config, const struct config_shift *shift);
--- a/packages/core/config_decode.c
+++ b/packages/core/config_decode.c
@@ -28,8 +28,8 @@
 	GError **error;
 };
 
-static bool refuse(const struct reader *reader, const char *member,
-		   const char *allowed)
+static bool fail_member(const struct reader *reader, const char *member,
+			const char *allowed)
 {
 	g_set_error(reader->error, RESULT_ERROR, RESULT_CONFIG_INVALID,
 		    "%s[%zu].%s: must be %s", reader->list, reader->index,
@@ -44,8 +44,8 @@
 		json_string_value(json_object_get(reader->item, member));
 
 	if (!text || !config_name_is_valid(text, size))
-		return refuse(reader, member,
-			      "a name of A-Z a-z 0-9 . _ -, not too long");
+		return fail_member(reader, member,
+				   "a name of A-Z a-z 0-9 . _ -, not too long");
 	g_strlcpy(name, text, size);
 	return true;
 }
@@ -56,7 +56,7 @@
 		json_string_value(json_object_get(reader->item, "address"));
 
 	if (!text || !endpoint_is_address(text))
-		return refuse(reader, "address", "an IPv4 number");
+		return fail_member(reader, "address", "an IPv4 number");
 	g_strlcpy(address, text, NAME_SIZE);
 	return true;
 }
@@ -70,46 +70,46 @@
 	if (!json)
 		return true;
 	if (!json_is_boolean(json))
-		return refuse(reader, member, "true or false");
+		return fail_member(reader, member, "true or false");
 	*value = json_is_true(json);
 	return true;
 }
 
 static bool read_number(const struct reader *reader, const char *member,
-			int64_t least, int64_t most, int64_t *value)
+			int64_t min, int64_t most, int64_t *value)
 {
 	json_t *json = json_object_get(reader->item, member);
 	char allowed[80];
 
 	if (json_is_integer(json)) {
 		*value = json_integer_value(json);
-		if (*value >= least && *value <= most)
+		if (*value >= min && *value <= most)
 			return true;
 	}
 	g_snprintf(allowed, sizeof(allowed),
 		   "a whole number from %" G_GINT64_FORMAT
 		   " to %" G_GINT64_FORMAT,
-		   least, most);
-	return refuse(reader, member, allowed);
+		   min, most);
+	return fail_member(reader, member, allowed);
 }
 
 static bool read_u32(const struct reader *reader, const char *member,
-		     int64_t least, int64_t most, uint32_t *value)
+		     int64_t min, int64_t most, uint32_t *value)
 {
 	int64_t number;
 
-	if (!read_number(reader, member, least, most, &number))
+	if (!read_number(reader, member, min, most, &number))
 		return false;
 	*value = (uint32_t)number;
 	return true;
 }
 
 static bool read_u64(const struct reader *reader, const char *member,
-		     int64_t least, int64_t most, uint64_t *value)
+		     int64_t min, int64_t most, uint64_t *value)
 {
 	int64_t number;
 
-	if (!read_number(reader, member, least, most, &number))
+	if (!read_number(reader, member, min, most, &number))
 		return false;
 	*value = (uint64_t)number;
 	return true;
@@ -136,7 +136,8 @@
 
 	if (!text || !g_hash_table_lookup_extended(reader->names[list], text,
 						   NULL, &found))
-		return refuse(reader, member, "a name that the document lists");
+		return fail_member(reader, member,
+				   "a name that the document lists");
 	*index = GPOINTER_TO_UINT(found);
 	return true;
 }
@@ -149,10 +150,11 @@
 	json_t *value;
 
 	if (!json_is_object(reader->item))
-		return refuse(reader, "", "an object");
+		return fail_member(reader, "", "an object");
 	json_object_foreach (reader->item, key, value) {
 		if (!g_strv_contains(members, key))
-			return refuse(reader, key, "left out: it is unknown");
+			return fail_member(reader, key,
+					   "left out: it is unknown");
 	}
 	return true;
 }
@@ -163,17 +165,17 @@
 	static const char *const members[] = { "name", "class", "timeout_us",
 					       "stopped", NULL };
 	struct config_service *service = &config->services[index];
-	const char *class_text;
+	const char *class_name;
 	int class_of;
 
 	if (!check_members(reader, members) ||
 	    !read_name(reader, "name", service->name, NAME_SIZE))
 		return false;
-	class_text = json_string_value(json_object_get(reader->item, "class"));
-	class_of = class_text ? service_class_from_name(class_text) : -1;
+	class_name = json_string_value(json_object_get(reader->item, "class"));
+	class_of = class_name ? service_class_from_name(class_name) : -1;
 	if (class_of < 0)
-		return refuse(reader, "class",
-			      "interactive, non-idempotent or background");
+		return fail_member(reader, "class",
+				   "interactive, non-idempotent or background");
 	service->class_of = (enum service_class)class_of;
 	return read_u64(reader, "timeout_us", MIN_TIMEOUT_US, MAX_TIMEOUT_US,
 			&service->timeout_us) &&
@@ -272,9 +274,9 @@
 		      &shift->cap_per_s))
 		return false;
 	if (shift->from == shift->to)
-		return refuse(reader, "to", "another place than from");
+		return fail_member(reader, "to", "another place than from");
 	if (!json_object_get(reader->item, "seats")) {
-		shift->seats = config_seats_for(config, shift->to);
+		shift->seats = config_default_seats(config, shift->to);
 		return true;
 	}
 	return read_u32(reader, "seats", 1, SHIFT_MAX_SEATS, &shift->seats);
@@ -286,27 +288,28 @@
 	static const char *const members[] = { "prefix", "place", NULL };
 	struct config_block *block = &config->blocks[index];
 	const char *text;
-	char **parts;
+	char **fields;
 	struct in_addr number;
 	guint64 bits = 0;
-	bool good;
+	bool ok;
 
 	if (!check_members(reader, members) ||
 	    !read_reference(reader, "place", CONFIG_LIST_PLACES, &block->place))
 		return false;
 	text = json_string_value(json_object_get(reader->item, "prefix"));
-	parts = g_strsplit(text ? text : "", "/", 3);
-	good = g_strv_length(parts) == 2 &&
-	       inet_pton(AF_INET, parts[0], &number) == 1 &&
-	       g_ascii_string_to_unsigned(parts[1], 10, 0, 32, &bits, NULL);
-	g_strfreev(parts);
-	if (!good)
-		return refuse(reader, "prefix",
-			      "an IPv4 block such as 10.0.0.0/8");
+	fields = g_strsplit(text ? text : "", "/", 3);
+	ok = g_strv_length(fields) == 2 &&
+	     inet_pton(AF_INET, fields[0], &number) == 1 &&
+	     g_ascii_string_to_unsigned(fields[1], 10, 0, 32, &bits, NULL);
+	g_strfreev(fields);
+	if (!ok)
+		return fail_member(reader, "prefix",
+				   "an IPv4 block such as 10.0.0.0/8");
 	block->prefix_bits = (uint32_t)bits;
 	block->prefix = ntohl(number.s_addr);
 	if (bits < 32 && (block->prefix & (UINT32_MAX >> bits)))
-		return refuse(reader, "prefix", "a block without host bits");
+		return fail_member(reader, "prefix",
+				   "a block without host bits");
 	return true;
 }
 
@@ -340,13 +343,13 @@
 	[CONFIG_LIST_COMMANDS] = { CONFIG_COMMANDS_KEPT, "id", read_command },
 };
 
-static bool take_in_name(const struct reader *reader, GHashTable *names,
-			 const char *key, const char *name)
+static bool add_name(const struct reader *reader, GHashTable *names,
+		     const char *key, const char *name)
 {
 	if (g_hash_table_insert(names, (gpointer)name,
 				GUINT_TO_POINTER(reader->index)))
 		return true;
-	return refuse(reader, key, "unlike the others of its list");
+	return fail_member(reader, key, "unlike the others of its list");
 }
 
 static bool read_list(enum config_list which, json_t *json,
@@ -356,7 +359,7 @@
 	const struct list_reader *list = &list_readers[which];
 	const struct config_list_field *field = &config_list_fields[which];
 	struct reader reader = { field->name, 0, NULL, names, error };
-	bool good = true;
+	bool ok = true;
 	char *items;
 
 	if (!json)
@@ -369,19 +372,19 @@
 	}
 	items = g_malloc0_n(json_array_size(json) + 1, field->item_size);
 	*config_list_items(config, which) = items;
-	while (good && reader.index < json_array_size(json)) {
+	while (ok && reader.index < json_array_size(json)) {
 		char *item = items + reader.index * field->item_size;
 
 		reader.item = json_array_get(json, reader.index);
-		good = list->read(&reader, config, (uint32_t)reader.index) &&
-		       (!list->key ||
-			take_in_name(&reader, names[which], list->key, item));
+		ok = list->read(&reader, config, (uint32_t)reader.index) &&
+		     (!list->key ||
+		      add_name(&reader, names[which], list->key, item));
 		*config_list_count(config, which) = (uint32_t)++reader.index;
 	}
-	return good;
+	return ok;
 }
 
-static bool check_lists(json_t *root, GError **error)
+static bool check_list_names(json_t *root, GError **error)
 {
 	const char *key;
 	json_t *value;
@@ -403,19 +406,19 @@
 static bool read_lists(json_t *root, struct config *config, GError **error)
 {
 	GHashTable *names[CONFIG_LIST_COUNT];
-	bool good = true;
+	bool ok = true;
 	int i;
 
 	for (i = 0; i < CONFIG_LIST_COUNT; i++)
 		names[i] = g_hash_table_new(g_str_hash, g_str_equal);
-	for (i = 0; good && i < CONFIG_LIST_COUNT; i++)
-		good = read_list((enum config_list)i,
-				 json_object_get(root,
-						 config_list_fields[i].name),
-				 config, names, error);
+	for (i = 0; ok && i < CONFIG_LIST_COUNT; i++)
+		ok = read_list((enum config_list)i,
+			       json_object_get(root,
+					       config_list_fields[i].name),
+			       config, names, error);
 	for (i = 0; i < CONFIG_LIST_COUNT; i++)
 		g_hash_table_destroy(names[i]);
-	return good;
+	return ok;
 }
 
 static bool read_document(json_t *root, struct config *config, GError **error)
@@ -425,7 +428,7 @@
 			    "the document must be an object");
 		return false;
 	}
-	if (!check_lists(root, error))
+	if (!check_list_names(root, error))
 		return false;
 	if (!read_lists(root, config, error))
 		return false;
--- a/packages/core/query.c
+++ b/packages/core/query.c
@@ -5,18 +5,18 @@
 #include "core/result.h"
 
 /* Bytes of a word that an error message repeats. */
-#define QUOTED_MAX_BYTES 40
+#define MAX_QUOTED_BYTES 40
 
 /* Longest keyword and longest word that is compared with one. */
-#define KEYWORD_MAX_BYTES 16
+#define MAX_KEYWORD_BYTES 16
 
 /*
  * Letters by which a word may differ from the keyword that was meant, as long
  * as more than half of them agree.
  */
-#define NEAR_MISS_EDITS 2
+#define MAX_SUGGESTION_EDITS 2
 
-#define NUMBER_MAX_DIGITS 9
+#define MAX_NUMBER_DIGITS 9
 
 #define FINGERPRINT_DIGITS 16
 
@@ -29,22 +29,22 @@
 	GError **error;
 };
 
-struct sentence {
+struct grammar_rule {
 	const char *keyword;
 	enum query_verb verb; /* show sets its own by what is shown */
 	bool (*parse)(struct parser *parser, struct query *query);
 };
 
 /* What messages call the kinds of objects. */
-static const char *const object_names[] = {
-	[OBJECT_NONE] = "thing",      [OBJECT_PLACE] = "place",
-	[OBJECT_NODE] = "node",	      [OBJECT_BACKEND] = "backend",
-	[OBJECT_SERVICE] = "service",
+static const char *const entity_type_names[] = {
+	[QUERY_ENTITY_NONE] = "thing",	    [QUERY_ENTITY_PLACE] = "place",
+	[QUERY_ENTITY_NODE] = "node",	    [QUERY_ENTITY_BACKEND] = "backend",
+	[QUERY_ENTITY_SERVICE] = "service",
 };
 
-const char *query_object_name(enum query_object object)
+const char *query_entity_type_name(enum query_entity object)
 {
-	return object_names[object];
+	return entity_type_names[object];
 }
 
 /*
@@ -56,7 +56,7 @@
 	return c == ' ' || c == '\t';
 }
 
-static void take_word(struct parser *parser, const char *end)
+static void set_word(struct parser *parser, const char *end)
 {
 	size_t len = (size_t)(end - parser->rest);
 
@@ -65,7 +65,7 @@
 	parser->rest = end;
 }
 
-static bool take_quoted_word(struct parser *parser)
+static bool read_quoted_word(struct parser *parser)
 {
 	const char *end;
 
@@ -77,7 +77,7 @@
 			    parser->position);
 		return false;
 	}
-	take_word(parser, end);
+	set_word(parser, end);
 	parser->rest = end + 1;
 	return true;
 }
@@ -93,11 +93,11 @@
 	parser->word[0] = '\0';
 	parser->at_end = !*parser->rest;
 	if (*parser->rest == '"')
-		return take_quoted_word(parser);
+		return read_quoted_word(parser);
 	end = parser->rest;
 	while (*end && !is_blank(*end))
 		end++;
-	take_word(parser, end);
+	set_word(parser, end);
 	return true;
 }
 
@@ -105,28 +105,28 @@
 static char *quote_word(const char *word)
 {
 	size_t len = strlen(word);
-	const char *rest = len > QUOTED_MAX_BYTES ? "…" : "";
+	const char *rest = len > MAX_QUOTED_BYTES ? "…" : "";
 	char *text;
 	char *quoted;
 
-	text = g_utf8_make_valid(word, (gssize)MIN(len, QUOTED_MAX_BYTES));
+	text = g_utf8_make_valid(word, (gssize)MIN(len, MAX_QUOTED_BYTES));
 	quoted = g_strdup_printf("'%s%s'", text, rest);
 	g_free(text);
 	return quoted;
 }
 
 static bool fail_at_word(const struct parser *parser, enum result code,
-			 const char *expected, const char *meant)
+			 const char *expected, const char *suggestion)
 {
 	char *found;
 
 	found = parser->at_end ? g_strdup("the end of the sentence") :
 				 quote_word(parser->word);
-	if (meant)
+	if (suggestion)
 		g_set_error(parser->error, RESULT_ERROR, (gint)code,
 			    "expected %s at word %u, found %s; "
 			    "did you mean '%s'?",
-			    expected, parser->position, found, meant);
+			    expected, parser->position, found, suggestion);
 	else
 		g_set_error(parser->error, RESULT_ERROR, (gint)code,
 			    "expected %s at word %u, found %s", expected,
@@ -139,18 +139,18 @@
  * Keywords
  */
 
-static uint32_t least(uint32_t a, uint32_t b, uint32_t c)
+static uint32_t min3(uint32_t a, uint32_t b, uint32_t c)
 {
 	return MIN(MIN(a, b), c);
 }
 
 /*
  * Edits (a letter more, less, other, or two neighbours swapped) between two
- * words of at most KEYWORD_MAX_BYTES, upper and lower case being equal.
+ * words of at most MAX_KEYWORD_BYTES, upper and lower case being equal.
  */
 static uint32_t edit_distance(const char *a, const char *b)
 {
-	uint32_t cost[KEYWORD_MAX_BYTES + 1][KEYWORD_MAX_BYTES + 1];
+	uint32_t cost[MAX_KEYWORD_BYTES + 1][MAX_KEYWORD_BYTES + 1];
 	uint32_t a_len = (uint32_t)strlen(a);
 	uint32_t b_len = (uint32_t)strlen(b);
 	uint32_t i;
@@ -166,9 +166,9 @@
 				cost[i][j] = i + j;
 				continue;
 			}
-			cost[i][j] = least(cost[i - 1][j] + 1,
-					   cost[i][j - 1] + 1,
-					   cost[i - 1][j - 1] + (x != y));
+			cost[i][j] = min3(cost[i - 1][j] + 1,
+					  cost[i][j - 1] + 1,
+					  cost[i - 1][j - 1] + (x != y));
 			if (i > 1 && j > 1 && g_ascii_tolower(a[i - 2]) == y &&
 			    g_ascii_tolower(b[j - 2]) == x)
 				cost[i][j] =
@@ -179,38 +179,39 @@
 }
 
 /* The keyword that the word is a misspelling of, or NULL. */
-static const char *near_miss(const char *word, const char *const *keywords)
+static const char *closest_keyword(const char *word,
+				   const char *const *keywords)
 {
-	const char *nearest = NULL;
-	uint32_t fewest = NEAR_MISS_EDITS + 1;
+	const char *closest = NULL;
+	uint32_t fewest = MAX_SUGGESTION_EDITS + 1;
 
-	if (!*word || strlen(word) > KEYWORD_MAX_BYTES)
+	if (!*word || strlen(word) > MAX_KEYWORD_BYTES)
 		return NULL;
 	for (; *keywords; keywords++) {
 		uint32_t edits = edit_distance(word, *keywords);
 
 		if (edits < fewest && 2 * edits < strlen(*keywords)) {
 			fewest = edits;
-			nearest = *keywords;
+			closest = *keywords;
 		}
 	}
-	return nearest;
+	return closest;
 }
 
 /* "'a', 'b' or 'c'", for g_free(). */
-static char *list_keywords(const char *const *keywords, bool or_end)
+static char *list_keywords(const char *const *keywords, bool allow_end)
 {
 	GString *text = g_string_new(NULL);
 	uint32_t i;
 
 	for (i = 0; keywords[i]; i++) {
-		bool last = !keywords[i + 1] && !or_end;
+		bool last = !keywords[i + 1] && !allow_end;
 
 		if (i)
 			g_string_append(text, last ? " or " : ", ");
 		g_string_append_printf(text, "'%s'", keywords[i]);
 	}
-	if (or_end)
+	if (allow_end)
 		g_string_append(text, i ? " or the end" : "the end");
 	return g_string_free(text, FALSE);
 }
@@ -219,45 +220,45 @@
  * Take one of the keywords (NULL ends them) and store its index; where the end
  * is allowed too, it stores the number of keywords.
  */
-static bool take_keyword(struct parser *parser, const char *const *keywords,
-			 bool or_end, uint32_t *index)
+static bool expect_keyword(struct parser *parser, const char *const *keywords,
+			   bool allow_end, uint32_t *index)
 {
 	char *expected;
 
 	for (*index = 0; keywords[*index]; (*index)++)
 		if (!parser->at_end && !strcmp(keywords[*index], parser->word))
 			return advance(parser);
-	if (or_end && parser->at_end)
+	if (allow_end && parser->at_end)
 		return true;
-	expected = list_keywords(keywords, or_end);
+	expected = list_keywords(keywords, allow_end);
 	fail_at_word(parser, RESULT_SYNTAX, expected,
-		     near_miss(parser->word, keywords));
+		     closest_keyword(parser->word, keywords));
 	g_free(expected);
 	return false;
 }
 
-static bool take_word_like(struct parser *parser, const char *keyword)
+static bool expect_one_keyword(struct parser *parser, const char *keyword)
 {
 	const char *const keywords[] = { keyword, NULL };
 	uint32_t index;
 
-	return take_keyword(parser, keywords, false, &index);
+	return expect_keyword(parser, keywords, false, &index);
 }
 
-static bool take_end(struct parser *parser)
+static bool expect_end(struct parser *parser)
 {
 	static const char *const none[] = { NULL };
 	uint32_t index;
 
-	return take_keyword(parser, none, true, &index);
+	return expect_keyword(parser, none, true, &index);
 }
 
 /*
  * Names and numbers
  */
 
-static bool take_text(struct parser *parser, const char *expected, char *text,
-		      size_t size)
+static bool expect_identifier(struct parser *parser, const char *expected,
+			      char *text, size_t size)
 {
 	if (!config_name_is_valid(parser->word, size))
 		return fail_at_word(parser, RESULT_SYNTAX, expected, NULL);
@@ -265,21 +266,22 @@
 	return advance(parser);
 }
 
-static bool take_name(struct parser *parser, enum query_object object,
-		      char *name)
+static bool expect_name(struct parser *parser, enum query_entity object,
+			char *name)
 {
 	char expected[80];
 
 	g_snprintf(expected, sizeof(expected),
 		   "the name of a %s (1 to 63 of A-Z a-z 0-9 . _ -)",
-		   query_object_name(object));
-	return take_text(parser, expected, name, NAME_SIZE);
+		   query_entity_type_name(object));
+	return expect_identifier(parser, expected, name, NAME_SIZE);
 }
 
-static bool take_shift_id(struct parser *parser, char *id)
+static bool expect_shift_id(struct parser *parser, char *id)
 {
-	return take_text(parser, "a shift's id (1 to 127 of A-Z a-z 0-9 . _ -)",
-			 id, ID_SIZE);
+	return expect_identifier(parser,
+				 "a shift's id (1 to 127 of A-Z a-z 0-9 . _ -)",
+				 id, ID_SIZE);
 }
 
 /* Digits at *text; one too great to hold counts as UINT32_MAX. */
@@ -291,7 +293,7 @@
 	*number = 0;
 	for (i = 0; i < len; i++)
 		*number = *number * 10 + (uint32_t)((*text)[i] - '0');
-	if (len > NUMBER_MAX_DIGITS)
+	if (len > MAX_NUMBER_DIGITS)
 		*number = UINT32_MAX;
 	*text += len;
 	return len > 0;
@@ -324,7 +326,7 @@
 	return read_digits(&text, per_s) && !strcmp(text, "/s");
 }
 
-static bool take_share(struct parser *parser, uint32_t *permille)
+static bool expect_share(struct parser *parser, uint32_t *permille)
 {
 	if (!read_percent(parser->word, permille))
 		return fail_at_word(parser, RESULT_SYNTAX,
@@ -335,7 +337,7 @@
 	return advance(parser);
 }
 
-static bool take_cap(struct parser *parser, uint32_t *per_s)
+static bool expect_cap(struct parser *parser, uint32_t *per_s)
 {
 	char expected[64];
 
@@ -360,38 +362,39 @@
 	static const char *const object[] = { "object", NULL };
 	uint32_t index;
 
-	if (!take_name(parser, OBJECT_SERVICE, query->service) ||
-	    !take_word_like(parser, "from") ||
-	    !take_name(parser, OBJECT_PLACE, query->from) ||
-	    !take_keyword(parser, object, true, &index))
+	if (!expect_name(parser, QUERY_ENTITY_SERVICE, query->service) ||
+	    !expect_one_keyword(parser, "from") ||
+	    !expect_name(parser, QUERY_ENTITY_PLACE, query->from) ||
+	    !expect_keyword(parser, object, true, &index))
 		return false;
 	if (index == 0 &&
-	    !take_text(parser, "an object's key (1 to 127 letters)",
-		       query->object_key, ID_SIZE))
+	    !expect_identifier(parser, "an object's key (1 to 127 letters)",
+			       query->object_key, ID_SIZE))
 		return false;
-	return take_end(parser);
+	return expect_end(parser);
 }
 
 /* What follows "show backends": "of SERVICE", "in PLACE", both or neither. */
-static bool parse_filters(struct parser *parser, struct query *query)
+static bool parse_backend_filters(struct parser *parser, struct query *query)
 {
 	static const char *const both[] = { "of", "in", NULL };
 	const char *const *keywords = both;
 	uint32_t index;
 
-	if (!take_keyword(parser, keywords, true, &index))
+	if (!expect_keyword(parser, keywords, true, &index))
 		return false;
 	if (index == 0) {
-		if (!take_name(parser, OBJECT_SERVICE, query->service))
+		if (!expect_name(parser, QUERY_ENTITY_SERVICE, query->service))
 			return false;
 		keywords = &both[1];
-		if (!take_keyword(parser, keywords, true, &index))
+		if (!expect_keyword(parser, keywords, true, &index))
 			return false;
 		index++;
 	}
-	if (index == 1 && !take_name(parser, OBJECT_PLACE, query->place))
+	if (index == 1 &&
+	    !expect_name(parser, QUERY_ENTITY_PLACE, query->place))
 		return false;
-	return take_end(parser);
+	return expect_end(parser);
 }
 
 static bool parse_show(struct parser *parser, struct query *query)
@@ -409,12 +412,12 @@
 	};
 	uint32_t index;
 
-	if (!take_keyword(parser, tables, false, &index))
+	if (!expect_keyword(parser, tables, false, &index))
 		return false;
 	query->verb = verbs[index];
 	if (query->verb == QUERY_SHOW_BACKENDS)
-		return parse_filters(parser, query);
-	return take_end(parser);
+		return parse_backend_filters(parser, query);
+	return expect_end(parser);
 }
 
 static bool parse_shift(struct parser *parser, struct query *query)
@@ -422,46 +425,47 @@
 	static const char *const as[] = { "as", NULL };
 	uint32_t index;
 
-	if (!take_name(parser, OBJECT_SERVICE, query->service) ||
-	    !take_word_like(parser, "from") ||
-	    !take_name(parser, OBJECT_PLACE, query->from) ||
-	    !take_word_like(parser, "to") ||
-	    !take_name(parser, OBJECT_PLACE, query->to) ||
-	    !take_word_like(parser, "share") ||
-	    !take_share(parser, &query->share_permille) ||
-	    !take_word_like(parser, "cap") ||
-	    !take_cap(parser, &query->cap_per_s) ||
-	    !take_keyword(parser, as, true, &index))
+	if (!expect_name(parser, QUERY_ENTITY_SERVICE, query->service) ||
+	    !expect_one_keyword(parser, "from") ||
+	    !expect_name(parser, QUERY_ENTITY_PLACE, query->from) ||
+	    !expect_one_keyword(parser, "to") ||
+	    !expect_name(parser, QUERY_ENTITY_PLACE, query->to) ||
+	    !expect_one_keyword(parser, "share") ||
+	    !expect_share(parser, &query->share_permille) ||
+	    !expect_one_keyword(parser, "cap") ||
+	    !expect_cap(parser, &query->cap_per_s) ||
+	    !expect_keyword(parser, as, true, &index))
 		return false;
 	if (!as[index])
 		return true;
-	return take_shift_id(parser, query->shift) && take_end(parser);
+	return expect_shift_id(parser, query->shift) && expect_end(parser);
 }
 
 static bool parse_cancel(struct parser *parser, struct query *query)
 {
-	return take_shift_id(parser, query->shift) && take_end(parser);
+	return expect_shift_id(parser, query->shift) && expect_end(parser);
 }
 
-static bool parse_drainable(struct parser *parser, struct query *query)
+static bool parse_drain(struct parser *parser, struct query *query)
 {
 	static const char *const kinds[] = { "place", "node", "backend", NULL };
-	static const enum query_object objects[] = { OBJECT_PLACE, OBJECT_NODE,
-						     OBJECT_BACKEND };
+	static const enum query_entity objects[] = { QUERY_ENTITY_PLACE,
+						     QUERY_ENTITY_NODE,
+						     QUERY_ENTITY_BACKEND };
 	uint32_t index;
 
-	if (!take_keyword(parser, kinds, false, &index))
+	if (!expect_keyword(parser, kinds, false, &index))
 		return false;
 	query->object = objects[index];
-	return take_name(parser, query->object, query->name) &&
-	       take_end(parser);
+	return expect_name(parser, query->object, query->name) &&
+	       expect_end(parser);
 }
 
-static bool parse_service(struct parser *parser, struct query *query)
+static bool parse_service_command(struct parser *parser, struct query *query)
 {
-	query->object = OBJECT_SERVICE;
-	return take_name(parser, OBJECT_SERVICE, query->name) &&
-	       take_end(parser);
+	query->object = QUERY_ENTITY_SERVICE;
+	return expect_name(parser, QUERY_ENTITY_SERVICE, query->name) &&
+	       expect_end(parser);
 }
 
 /* As logs and "show suspects" write it. */
@@ -476,7 +480,7 @@
 	if (!query->fingerprint)
 		return fail_at_word(parser, RESULT_OUT_OF_RANGE,
 				    "a fingerprint other than 0", NULL);
-	return advance(parser) && take_end(parser);
+	return advance(parser) && expect_end(parser);
 }
 
 static bool parse_load(struct parser *parser, struct query *query)
@@ -485,21 +489,21 @@
 		return fail_at_word(parser, RESULT_SYNTAX, "the name of a file",
 				    NULL);
 	g_strlcpy(query->file, parser->word, sizeof(query->file));
-	return advance(parser) && take_end(parser);
+	return advance(parser) && expect_end(parser);
 }
 
-static const struct sentence sentences[] = {
+static const struct grammar_rule grammar_rules[] = {
 	{ "where", QUERY_WHERE, parse_where },
 	{ "show", QUERY_SHOW_PLACES, parse_show },
 	{ "quarantine", QUERY_QUARANTINE, parse_fingerprint },
 	{ "release", QUERY_RELEASE, parse_fingerprint },
-	{ "shift", COMMAND_SHIFT, parse_shift },
-	{ "cancel", COMMAND_CANCEL, parse_cancel },
-	{ "drain", COMMAND_DRAIN, parse_drainable },
-	{ "undrain", COMMAND_UNDRAIN, parse_drainable },
-	{ "stop", COMMAND_STOP, parse_service },
-	{ "start", COMMAND_START, parse_service },
-	{ "load", COMMAND_LOAD, parse_load },
+	{ "shift", QUERY_CMD_SHIFT, parse_shift },
+	{ "cancel", QUERY_CMD_CANCEL, parse_cancel },
+	{ "drain", QUERY_CMD_DRAIN, parse_drain },
+	{ "undrain", QUERY_CMD_UNDRAIN, parse_drain },
+	{ "stop", QUERY_CMD_STOP, parse_service_command },
+	{ "start", QUERY_CMD_START, parse_service_command },
+	{ "load", QUERY_CMD_LOAD, parse_load },
 };
 
 static bool check_bytes(const char *text, GError **error)
@@ -522,24 +526,24 @@
 
 bool query_parse(const char *text, struct query *query, GError **error)
 {
-	const char *keywords[G_N_ELEMENTS(sentences) + 1] = { NULL };
+	const char *keywords[G_N_ELEMENTS(grammar_rules) + 1] = { NULL };
 	struct parser parser = { .rest = text, .error = error };
 	uint32_t index;
 
 	memset(query, 0, sizeof(*query));
 	if (!check_bytes(text, error) || !advance(&parser))
 		return false;
-	for (index = 0; index < G_N_ELEMENTS(sentences); index++)
-		keywords[index] = sentences[index].keyword;
-	if (!take_keyword(&parser, keywords, false, &index))
+	for (index = 0; index < G_N_ELEMENTS(grammar_rules); index++)
+		keywords[index] = grammar_rules[index].keyword;
+	if (!expect_keyword(&parser, keywords, false, &index))
 		return false;
-	query->verb = sentences[index].verb;
-	return sentences[index].parse(&parser, query);
+	query->verb = grammar_rules[index].verb;
+	return grammar_rules[index].parse(&parser, query);
 }
 
 bool query_is_command(const struct query *query)
 {
-	return query->verb >= COMMAND_SHIFT;
+	return query->verb >= QUERY_CMD_SHIFT;
 }
 
 bool query_id_is_valid(const char *id)
--- a/packages/core/query.h
+++ b/packages/core/query.h
@@ -41,27 +41,27 @@
 	QUERY_SHOW_LIMITS, /* backend servers that named a rate */
 	QUERY_QUARANTINE, /* one of these, by hand */
 	QUERY_RELEASE,
-	COMMAND_SHIFT,
-	COMMAND_CANCEL, /* a shift */
-	COMMAND_DRAIN, /* place, node or backend server */
-	COMMAND_UNDRAIN,
-	COMMAND_STOP, /* a service */
-	COMMAND_START,
-	COMMAND_LOAD, /* replace the whole document */
+	QUERY_CMD_SHIFT,
+	QUERY_CMD_CANCEL, /* a shift */
+	QUERY_CMD_DRAIN, /* place, node or backend server */
+	QUERY_CMD_UNDRAIN,
+	QUERY_CMD_STOP, /* a service */
+	QUERY_CMD_START,
+	QUERY_CMD_LOAD, /* replace the whole document */
 };
 
-enum query_object {
-	OBJECT_NONE,
-	OBJECT_PLACE,
-	OBJECT_NODE,
-	OBJECT_BACKEND,
-	OBJECT_SERVICE,
+enum query_entity {
+	QUERY_ENTITY_NONE,
+	QUERY_ENTITY_PLACE,
+	QUERY_ENTITY_NODE,
+	QUERY_ENTITY_BACKEND,
+	QUERY_ENTITY_SERVICE,
 };
 
 /* Texts that the sentence doesn't give are empty. */
 struct query {
 	enum query_verb verb;
-	enum query_object object; /* of drain, undrain, stop and start */
+	enum query_entity object; /* of drain, undrain, stop and start */
 	char name[NAME_SIZE]; /* of the object */
 	char service[NAME_SIZE]; /* of where and shift; filter of show */
 	char from[NAME_SIZE];
@@ -85,20 +85,21 @@
 bool query_id_is_valid(const char *id);
 
 /* What messages call the kind of object: "place", "backend". */
-const char *query_object_name(enum query_object object);
+const char *query_entity_type_name(enum query_entity object);
 
 /*
  * Index of the object in the configuration, or CONFIG_NONE and an error of
  * RESULT_UNKNOWN_NAME.
  */
-uint32_t query_find(const struct config *config, enum query_object object,
-		    const char *name, GError **error);
+uint32_t query_find_entity(const struct config *config,
+			   enum query_entity object, const char *name,
+			   GError **error);
 
 /*
  * Apply a command under its id to a copy of the configuration; the new one has
  * no version yet. The caller has asked config_find_command() before: an id that
  * the document knows is not applied again. RESULT_CONFLICT, RESULT_UNKNOWN_NAME
- * or RESULT_OUT_OF_RANGE on failure. COMMAND_LOAD goes to query_load().
+ * or RESULT_OUT_OF_RANGE on failure. QUERY_CMD_LOAD goes to query_load().
  */
 struct config *query_apply(const struct config *config,
 			   const struct query *query, const char *command_id,
@@ -114,7 +115,7 @@
 			  size_t len, const char *command_id, GError **error);
 
 /* What a command has made true, as one line of text for g_free(). */
-char *query_describe(const struct query *query, const char *command_id);
+char *query_describe_effect(const struct query *query, const char *command_id);
 
 #ifdef __cplusplus
 }
--- a/packages/core/query_apply.c
+++ b/packages/core/query_apply.c
@@ -12,10 +12,10 @@
 	GError **error;
 };
 
-static bool conflict(const struct change *change, const char *format, ...)
+static bool fail_conflict(const struct change *change, const char *format, ...)
 	G_GNUC_PRINTF(2, 3);
 
-static bool conflict(const struct change *change, const char *format, ...)
+static bool fail_conflict(const struct change *change, const char *format, ...)
 {
 	va_list args;
 	char *text;
@@ -28,42 +28,43 @@
 	return false;
 }
 
-uint32_t query_find(const struct config *config, enum query_object object,
-		    const char *name, GError **error)
+uint32_t query_find_entity(const struct config *config,
+			   enum query_entity object, const char *name,
+			   GError **error)
 {
 	uint32_t index = CONFIG_NONE;
 
 	switch (object) {
-	case OBJECT_PLACE:
+	case QUERY_ENTITY_PLACE:
 		index = config_find_place(config, name);
 		break;
-	case OBJECT_NODE:
+	case QUERY_ENTITY_NODE:
 		index = config_find_node(config, name);
 		break;
-	case OBJECT_BACKEND:
+	case QUERY_ENTITY_BACKEND:
 		index = config_find_backend(config, name);
 		break;
-	case OBJECT_SERVICE:
+	case QUERY_ENTITY_SERVICE:
 		index = config_find_service(config, name);
 		break;
-	case OBJECT_NONE:
+	case QUERY_ENTITY_NONE:
 		break;
 	}
 	if (index == CONFIG_NONE)
 		g_set_error(error, RESULT_ERROR, RESULT_UNKNOWN_NAME,
-			    "no %s is named '%s'", query_object_name(object),
-			    name);
+			    "no %s is named '%s'",
+			    query_entity_type_name(object), name);
 	return index;
 }
 
-static bool find(const struct change *change, enum query_object object,
-		 const char *name, uint32_t *index)
+static bool find_entity(const struct change *change, enum query_entity object,
+			const char *name, uint32_t *index)
 {
-	*index = query_find(change->after, object, name, change->error);
+	*index = query_find_entity(change->after, object, name, change->error);
 	return *index != CONFIG_NONE;
 }
 
-static bool has_node(const struct config *config, uint32_t place)
+static bool has_undrained_node(const struct config *config, uint32_t place)
 {
 	uint32_t i;
 
@@ -74,8 +75,8 @@
 	return false;
 }
 
-static bool has_backend(const struct config *config, uint32_t service,
-			uint32_t place)
+static bool has_undrained_backend(const struct config *config, uint32_t service,
+				  uint32_t place)
 {
 	uint32_t i;
 
@@ -93,11 +94,12 @@
 static bool place_serves(const struct config *config, uint32_t service,
 			 uint32_t place)
 {
-	return !config->places[place].drained && has_node(config, place) &&
-	       has_backend(config, service, place);
+	return !config->places[place].drained &&
+	       has_undrained_node(config, place) &&
+	       has_undrained_backend(config, service, place);
 }
 
-static bool is_served(const struct config *config, uint32_t service)
+static bool has_serving_place(const struct config *config, uint32_t service)
 {
 	uint32_t i;
 
@@ -106,15 +108,15 @@
 
 		if (backend->service == service && !backend->drained &&
 		    !config->places[backend->place].drained &&
-		    has_node(config, backend->place))
+		    has_undrained_node(config, backend->place))
 			return true;
 	}
 	return false;
 }
 
 /* Shares that shifts take of the service's requests from the place. */
-static uint32_t shifted_permille(const struct config *config, uint32_t service,
-				 uint32_t from)
+static uint32_t sum_shift_shares_permille(const struct config *config,
+					  uint32_t service, uint32_t from)
 {
 	uint32_t sum = 0;
 	uint32_t i;
@@ -134,20 +136,22 @@
 	const char *service = config->services[shift->service].name;
 
 	if (config->places[shift->to].drained)
-		return conflict(change,
-				"shift '%s' goes to place '%s', which is "
-				"drained",
-				shift->id, to);
-	if (!has_node(config, shift->to))
-		return conflict(change,
-				"shift '%s' goes to place '%s', where no node "
-				"is undrained",
-				shift->id, to);
-	if (!has_backend(config, shift->service, shift->to))
-		return conflict(change,
-				"shift '%s' goes to place '%s', where service "
-				"'%s' has no undrained backend server",
-				shift->id, to, service);
+		return fail_conflict(change,
+				     "shift '%s' goes to place '%s', which is "
+				     "drained",
+				     shift->id, to);
+	if (!has_undrained_node(config, shift->to))
+		return fail_conflict(
+			change,
+			"shift '%s' goes to place '%s', where no node "
+			"is undrained",
+			shift->id, to);
+	if (!has_undrained_backend(config, shift->service, shift->to))
+		return fail_conflict(
+			change,
+			"shift '%s' goes to place '%s', where service "
+			"'%s' has no undrained backend server",
+			shift->id, to, service);
 	return true;
 }
 
@@ -155,21 +159,23 @@
 			       const struct config_shift *shift)
 {
 	const struct config *config = change->after;
-	uint32_t sum = shifted_permille(config, shift->service, shift->from);
+	uint32_t sum =
+		sum_shift_shares_permille(config, shift->service, shift->from);
 
 	if (sum <= QUERY_SHARE_MAX_PERMILLE)
 		return true;
-	return conflict(change,
-			"with shift '%s' the shifts of service '%s' from "
-			"place '%s' take %u.%u%% of its requests, more than "
-			"100%%",
-			shift->id, config->services[shift->service].name,
-			config->places[shift->from].name,
-			sum / QUERY_PERMILLE_PER_PERCENT,
-			sum % QUERY_PERMILLE_PER_PERCENT);
+	return fail_conflict(
+		change,
+		"with shift '%s' the shifts of service '%s' from "
+		"place '%s' take %u.%u%% of its requests, more than "
+		"100%%",
+		shift->id, config->services[shift->service].name,
+		config->places[shift->from].name,
+		sum / QUERY_PERMILLE_PER_PERCENT,
+		sum % QUERY_PERMILLE_PER_PERCENT);
 }
 
-static bool change_shift(const struct change *change, const struct query *query)
+static bool apply_shift(const struct change *change, const struct query *query)
 {
 	struct config *config = change->after;
 	struct config_shift shift = { .share_permille = query->share_permille,
@@ -177,28 +183,31 @@
 
 	g_strlcpy(shift.id, *query->shift ? query->shift : change->command_id,
 		  sizeof(shift.id));
-	if (!find(change, OBJECT_SERVICE, query->service, &shift.service) ||
-	    !find(change, OBJECT_PLACE, query->from, &shift.from) ||
-	    !find(change, OBJECT_PLACE, query->to, &shift.to))
+	if (!find_entity(change, QUERY_ENTITY_SERVICE, query->service,
+			 &shift.service) ||
+	    !find_entity(change, QUERY_ENTITY_PLACE, query->from,
+			 &shift.from) ||
+	    !find_entity(change, QUERY_ENTITY_PLACE, query->to, &shift.to))
 		return false;
 	if (shift.from == shift.to)
-		return conflict(change,
-				"shift '%s' goes to place '%s', where "
-				"it comes from",
-				shift.id, query->to);
+		return fail_conflict(change,
+				     "shift '%s' goes to place '%s', where "
+				     "it comes from",
+				     shift.id, query->to);
 	if (config_find_shift(config, shift.id) != CONFIG_NONE)
-		return conflict(change, "shift '%s' stands already", shift.id);
+		return fail_conflict(change, "shift '%s' stands already",
+				     shift.id);
 	if (config->shift_count >= CONFIG_MAX_SHIFTS)
-		return conflict(change, "%d shifts stand already; cancel one",
-				CONFIG_MAX_SHIFTS);
-	shift.seats = config_seats_for(config, shift.to);
+		return fail_conflict(change,
+				     "%d shifts stand already; cancel one",
+				     CONFIG_MAX_SHIFTS);
+	shift.seats = config_default_seats(config, shift.to);
 	config_add_shift(config, &shift);
 	return check_shift_target(change, &shift) &&
 	       check_shift_shares(change, &shift);
 }
 
-static bool change_cancel(const struct change *change,
-			  const struct query *query)
+static bool apply_cancel(const struct change *change, const struct query *query)
 {
 	uint32_t index = config_find_shift(change->after, query->shift);
 
@@ -211,15 +220,15 @@
 	return true;
 }
 
-static bool *drained_of(struct config *config, enum query_object object,
-			uint32_t index)
+static bool *drained_flag(struct config *config, enum query_entity object,
+			  uint32_t index)
 {
 	switch (object) {
-	case OBJECT_PLACE:
+	case QUERY_ENTITY_PLACE:
 		return &config->places[index].drained;
-	case OBJECT_NODE:
+	case QUERY_ENTITY_NODE:
 		return &config->nodes[index].drained;
-	case OBJECT_BACKEND:
+	case QUERY_ENTITY_BACKEND:
 		return &config->backends[index].drained;
 	default:
 		return NULL;
@@ -227,7 +236,7 @@
 }
 
 /* No shift may lose the place that it goes to. */
-static bool check_shifts_kept(const struct change *change)
+static bool check_destinations_remain(const struct change *change)
 {
 	const struct config *config = change->after;
 	uint32_t i;
@@ -238,74 +247,74 @@
 		if (!place_serves(change->before, shift->service, shift->to) ||
 		    place_serves(config, shift->service, shift->to))
 			continue;
-		return conflict(change,
-				"shift '%s' goes to place '%s', which would no "
-				"longer serve service '%s'; cancel it first",
-				shift->id, config->places[shift->to].name,
-				config->services[shift->service].name);
+		return fail_conflict(
+			change,
+			"shift '%s' goes to place '%s', which would no "
+			"longer serve service '%s'; cancel it first",
+			shift->id, config->places[shift->to].name,
+			config->services[shift->service].name);
 	}
 	return true;
 }
 
 /* No running service may lose the last place that serves it. */
-static bool check_services_kept(const struct change *change)
+static bool check_services_remain(const struct change *change)
 {
 	uint32_t i;
 
 	for (i = 0; i < change->after->service_count; i++) {
 		if (change->after->services[i].stopped ||
-		    !is_served(change->before, i) ||
-		    is_served(change->after, i))
+		    !has_serving_place(change->before, i) ||
+		    has_serving_place(change->after, i))
 			continue;
-		return conflict(change,
-				"service '%s' would have no place left to "
-				"serve it",
-				change->after->services[i].name);
+		return fail_conflict(change,
+				     "service '%s' would have no place left to "
+				     "serve it",
+				     change->after->services[i].name);
 	}
 	return true;
 }
 
-static bool change_drained(const struct change *change,
-			   const struct query *query)
+static bool apply_drain(const struct change *change, const struct query *query)
 {
-	bool drained = query->verb == COMMAND_DRAIN;
+	bool drained = query->verb == QUERY_CMD_DRAIN;
 	uint32_t index;
 
-	if (!find(change, query->object, query->name, &index))
+	if (!find_entity(change, query->object, query->name, &index))
 		return false;
-	*drained_of(change->after, query->object, index) = drained;
-	return check_shifts_kept(change) && check_services_kept(change);
+	*drained_flag(change->after, query->object, index) = drained;
+	return check_destinations_remain(change) &&
+	       check_services_remain(change);
 }
 
-static bool change_stopped(const struct change *change,
-			   const struct query *query)
+static bool apply_stop(const struct change *change, const struct query *query)
 {
-	bool stopped = query->verb == COMMAND_STOP;
+	bool stopped = query->verb == QUERY_CMD_STOP;
 	uint32_t index;
 
-	if (!find(change, OBJECT_SERVICE, query->name, &index))
+	if (!find_entity(change, QUERY_ENTITY_SERVICE, query->name, &index))
 		return false;
 	change->after->services[index].stopped = stopped;
-	if (stopped || is_served(change->after, index))
+	if (stopped || has_serving_place(change->after, index))
 		return true;
-	return conflict(change, "service '%s' has no place to serve it",
-			query->name);
+	return fail_conflict(change, "service '%s' has no place to serve it",
+			     query->name);
 }
 
-static bool change_config(const struct change *change,
+static bool apply_command(const struct change *change,
 			  const struct query *query)
 {
 	switch (query->verb) {
-	case COMMAND_SHIFT:
-		return change_shift(change, query);
-	case COMMAND_CANCEL:
-		return change_cancel(change, query);
-	case COMMAND_DRAIN:
-	case COMMAND_UNDRAIN:
-		return change_drained(change, query);
-	case COMMAND_STOP:
-	case COMMAND_START:
-		return change_stopped(change, query);
+	case QUERY_CMD_SHIFT:
+		return apply_shift(change, query);
+	case QUERY_CMD_CANCEL:
+		return apply_cancel(change, query);
+	case QUERY_CMD_DRAIN:
+	case QUERY_CMD_UNDRAIN:
+		return apply_drain(change, query);
+	case QUERY_CMD_STOP:
+	case QUERY_CMD_START:
+		return apply_stop(change, query);
 	default:
 		g_set_error_literal(change->error, RESULT_ERROR,
 				    RESULT_INTERNAL,
@@ -333,7 +342,7 @@
 	if (!check_command_id(command_id, error))
 		return NULL;
 	change.after = config_copy(config);
-	if (!change_config(&change, query)) {
+	if (!apply_command(&change, query)) {
 		config_free(change.after);
 		return NULL;
 	}
@@ -353,7 +362,7 @@
 }
 
 /* Put the command ids of the present configuration in the new one's place. */
-static void keep_commands(const struct change *change)
+static void keep_command_history(const struct change *change)
 {
 	struct config *after = change->after;
 	uint32_t i;
@@ -375,7 +384,7 @@
  * part beside the new ones: 50 and 33 and 33 of a cap of 100. So it stays as it
  * was when the shift was made, whatever a document says.
  */
-static void keep_seats(const struct change *change)
+static void keep_seat_counts(const struct change *change)
 {
 	const struct config *before = change->before;
 	uint32_t i;
@@ -403,8 +412,8 @@
 		config_free(change.after);
 		return NULL;
 	}
-	keep_seats(&change);
-	keep_commands(&change);
+	keep_seat_counts(&change);
+	keep_command_history(&change);
 	config_add_command(change.after, command_id);
 	return change.after;
 }
@@ -421,25 +430,25 @@
 		query->cap_per_s);
 }
 
-char *query_describe(const struct query *query, const char *command_id)
+char *query_describe_effect(const struct query *query, const char *command_id)
 {
-	const char *object = query_object_name(query->object);
+	const char *object = query_entity_type_name(query->object);
 
 	switch (query->verb) {
-	case COMMAND_SHIFT:
+	case QUERY_CMD_SHIFT:
 		return describe_shift(query, command_id);
-	case COMMAND_CANCEL:
+	case QUERY_CMD_CANCEL:
 		return g_strdup_printf("shift %s is cancelled", query->shift);
-	case COMMAND_DRAIN:
+	case QUERY_CMD_DRAIN:
 		return g_strdup_printf("%s %s is drained", object, query->name);
-	case COMMAND_UNDRAIN:
+	case QUERY_CMD_UNDRAIN:
 		return g_strdup_printf("%s %s is undrained", object,
 				       query->name);
-	case COMMAND_STOP:
+	case QUERY_CMD_STOP:
 		return g_strdup_printf("service %s is stopped", query->name);
-	case COMMAND_START:
+	case QUERY_CMD_START:
 		return g_strdup_printf("service %s is started", query->name);
-	case COMMAND_LOAD:
+	case QUERY_CMD_LOAD:
 		return g_strdup("the document is replaced");
 	default:
 		return g_strdup("");
--- a/packages/core/result.c
+++ b/packages/core/result.c
@@ -8,7 +8,7 @@
 	int http_status;
 };
 
-static const struct result_row result_table[] = {
+static const struct result_row result_rows[] = {
 	{ RESULT_OK, "ok", 200 },
 	{ RESULT_OVERLOAD, "overload", 503 },
 	{ RESULT_DEADLINE_TOO_SHORT, "deadline-too-short", 503 },
@@ -50,26 +50,26 @@
 
 G_DEFINE_QUARK(result - error - quark, result_error)
 
-static const struct result_row *result_find(int number)
+static const struct result_row *find_row(int number)
 {
 	size_t i;
 
-	for (i = 0; i < G_N_ELEMENTS(result_table); i++)
-		if ((int)result_table[i].code == number)
-			return &result_table[i];
+	for (i = 0; i < G_N_ELEMENTS(result_rows); i++)
+		if ((int)result_rows[i].code == number)
+			return &result_rows[i];
 	return NULL;
 }
 
 const char *result_name(enum result code)
 {
-	const struct result_row *row = result_find(code);
+	const struct result_row *row = find_row(code);
 
 	return row ? row->name : "unnumbered";
 }
 
 int result_http_status(enum result code)
 {
-	const struct result_row *row = result_find(code);
+	const struct result_row *row = find_row(code);
 
 	return row ? row->http_status : 500;
 }
@@ -79,14 +79,14 @@
 	return (int)code / 100;
 }
 
-bool result_is_not_run(enum result code)
+bool result_proves_not_run(enum result code)
 {
 	return (int)code / 100 == 1;
 }
 
 enum result result_from_number(int number)
 {
-	const struct result_row *row = result_find(number);
+	const struct result_row *row = find_row(number);
 
 	return row ? row->code : RESULT_INTERNAL;
 }
--- a/packages/core/result.h
+++ b/packages/core/result.h
@@ -80,7 +80,7 @@
 int result_exit_status(enum result code);
 
 /* Whether the code proves that the request did not run and will not. */
-bool result_is_not_run(enum result code);
+bool result_proves_not_run(enum result code);
 
 /* The code with this number, or RESULT_INTERNAL where there is none. */
 enum result result_from_number(int number);
--- a/packages/ctl/main.c
+++ b/packages/ctl/main.c
@@ -124,7 +124,7 @@
 	request->has_expect = options->expect != NO_EXPECT;
 	if (request->has_expect)
 		request->expect = (uint64_t)options->expect;
-	if (query.verb == COMMAND_LOAD) {
+	if (query.verb == QUERY_CMD_LOAD) {
 		request->document = script_read_document(query.file, error);
 		if (!request->document)
 			return false;
--- a/packages/edge/admin.c
+++ b/packages/edge/admin.c
@@ -11,18 +11,18 @@
 static const char *other_way(enum query_verb verb)
 {
 	switch (verb) {
-	case COMMAND_SHIFT:
-	case COMMAND_CANCEL:
+	case QUERY_CMD_SHIFT:
+	case QUERY_CMD_CANCEL:
 		return "shares of traffic are the weights of a route's split; "
 		       "the platform's operator writes them";
-	case COMMAND_DRAIN:
-	case COMMAND_UNDRAIN:
+	case QUERY_CMD_DRAIN:
+	case QUERY_CMD_UNDRAIN:
 		return "a failure domain is evacuated by the platform's "
 		       "operator, a backend server drains itself, and an entry "
 		       "VM is stopped by SIGTERM";
-	case COMMAND_STOP:
-	case COMMAND_START:
-	case COMMAND_LOAD:
+	case QUERY_CMD_STOP:
+	case QUERY_CMD_START:
+	case QUERY_CMD_LOAD:
 		return "routes and services are written by the platform's "
 		       "operator";
 	default:
@@ -78,7 +78,7 @@
 
 	*result = RESULT_OK;
 	if (root)
-		return admin_json_take_text(root);
+		return admin_json_to_text(root);
 	*result = result_from_number(error->code);
 	text = admin_answer_error(*result, error->message, 0);
 	g_error_free(error);
--- a/packages/edge/admin_finish.c
+++ b/packages/edge/admin_finish.c
@@ -8,9 +8,9 @@
 {
 	size_t count = json_array_size(table->rows);
 	char *message = g_strdup_printf("%zu %s", count, what);
-	json_t *root = admin_json_new(RESULT_OK, message);
+	json_t *root = admin_json_new_answer(RESULT_OK, message);
 
-	admin_table_move(root, table, edge->routes->version);
+	admin_table_move_into(root, table, edge->routes->version);
 	g_free(message);
 	return root;
 }
--- a/packages/edge/admin_show.c
+++ b/packages/edge/admin_show.c
@@ -21,8 +21,8 @@
 
 static json_t *age(uint64_t since_us, uint64_t now_us)
 {
-	return admin_json_number_if(since_us && since_us <= now_us,
-				    now_us - since_us);
+	return admin_json_number_or_null(since_us && since_us <= now_us,
+					 now_us - since_us);
 }
 
 /* Values of a table in the order of their names, for g_list_free(). */
@@ -260,8 +260,10 @@
 	values[1] = admin_json_number(count);
 	values[2] = admin_json_number(slots);
 	values[3] = json_real(load);
-	values[4] = admin_json_number_if(learned, (uint64_t)times->warm_us);
-	values[5] = admin_json_number_if(learned, (uint64_t)times->cold_us);
+	values[4] =
+		admin_json_number_or_null(learned, (uint64_t)times->warm_us);
+	values[5] =
+		admin_json_number_or_null(learned, (uint64_t)times->cold_us);
 	values[6] = admin_json_number(times->samples);
 	values[7] = permille(chooser_far_share(&edge->chooser, service->name));
 	values[8] = admin_json_number(budget ? extra_budget_taken(budget) : 0);
--- a/packages/edge/admin_suspects.c
+++ b/packages/edge/admin_suspects.c
@@ -56,7 +56,7 @@
 		admin_json_number(suspect->crash_count),
 		admin_json_text(servers),
 		admin_json_number(suspect->rounds),
-		admin_json_number_if(suspect->rounds != 0, left_us),
+		admin_json_number_or_null(suspect->rounds != 0, left_us),
 		json_boolean(suspect->by_hand),
 		admin_json_number(now_us - suspect->touched_us),
 		admin_json_text(suspect->text),
@@ -83,7 +83,7 @@
 	char *message = g_strdup_printf(
 		"%016" PRIx64 " is %s", query->fingerprint,
 		query->verb == QUERY_RELEASE ? "released" : "quarantined");
-	json_t *root = admin_json_new(RESULT_OK, message);
+	json_t *root = admin_json_new_answer(RESULT_OK, message);
 
 	g_free(message);
 	return root;
--- a/packages/edge/admin_where.c
+++ b/packages/edge/admin_where.c
@@ -123,7 +123,7 @@
 		g_string_append_printf(
 			text, "to %s, by route %s; %.0f%% may leave the region",
 			best->backend->id, query->route->name, 100 * share);
-	root = admin_json_new(RESULT_OK, text->str);
+	root = admin_json_new_answer(RESULT_OK, text->str);
 	g_string_free(text, TRUE);
 	return root;
 }
@@ -156,12 +156,14 @@
 			admin_json_text(backend->id),
 			admin_json_text(backend->domain),
 			json_string(rule_of(view)),
-			admin_json_number_if(open, i),
-			admin_json_number_if(open, (uint64_t)view->cost_us),
-			admin_json_number_if(open, (uint64_t)view->expected_us),
-			admin_json_boolean_if(open, view->warm),
-			admin_json_boolean_if(open, view->near),
-			admin_json_boolean_if(open, view->full),
+			admin_json_number_or_null(open, i),
+			admin_json_number_or_null(open,
+						  (uint64_t)view->cost_us),
+			admin_json_number_or_null(open,
+						  (uint64_t)view->expected_us),
+			admin_json_boolean_or_null(open, view->warm),
+			admin_json_boolean_or_null(open, view->near),
+			admin_json_boolean_or_null(open, view->full),
 			admin_json_number(backend->slots),
 			json_real(backend_load(backend, now_us)),
 		};
@@ -169,7 +171,7 @@
 		ADMIN_TABLE_ADD(&table, columns, values);
 	}
 	root = make_message(edge, &made, best_of(views));
-	admin_table_move(root, &table, edge->routes->version);
+	admin_table_move_into(root, &table, edge->routes->version);
 	g_array_unref(views);
 	return root;
 }
--- a/packages/node/command.c
+++ b/packages/node/command.c
@@ -46,7 +46,7 @@
 			     const struct admin_request *request,
 			     GError **error)
 {
-	if (query->verb == COMMAND_LOAD) {
+	if (query->verb == QUERY_CMD_LOAD) {
 		if (request->document)
 			return query_load(config, request->document,
 					  strlen(request->document),
@@ -164,7 +164,7 @@
 	if (progress->repeated)
 		return g_strdup_printf("command %s was taken in before",
 				       request->id);
-	return query_describe(query, request->id);
+	return query_describe_effect(query, request->id);
 }
 
 static enum result run_command(struct node *node, const struct query *query,
@@ -196,9 +196,9 @@
 
 /* Live inputs of the administration tables, gathered service by service. */
 struct gathered {
-	GArray *places; /* struct admin_place */
-	GArray *backends; /* struct admin_backend */
-	GArray *nodes; /* struct admin_node */
+	GArray *places; /* struct admin_place_status */
+	GArray *backends; /* struct admin_backend_status */
+	GArray *nodes; /* struct admin_node_status */
 	uint32_t *shares_permille;
 };
 
@@ -206,7 +206,7 @@
 			  uint32_t index, struct gathered *gathered)
 {
 	struct service *service = snapshot->services[index];
-	struct admin_place place = { .service = index };
+	struct admin_place_status place = { .service = index };
 	uint64_t now_us = state_now_us(node);
 	uint32_t i;
 
@@ -221,7 +221,7 @@
 			    uint32_t index, struct gathered *gathered)
 {
 	struct service *service = snapshot->services[index];
-	struct admin_backend backend;
+	struct admin_backend_status backend;
 	uint64_t now_us = state_now_us(node);
 	uint32_t i;
 
@@ -242,7 +242,7 @@
 	uint32_t i;
 
 	for (i = 0; i < config->node_count; i++) {
-		struct admin_node row = { .node = i };
+		struct admin_node_status row = { .node = i };
 		struct view_node known;
 
 		if (i == snapshot->own_node) {
@@ -285,10 +285,12 @@
 {
 	uint32_t i;
 
-	gathered->places = g_array_new(FALSE, TRUE, sizeof(struct admin_place));
+	gathered->places =
+		g_array_new(FALSE, TRUE, sizeof(struct admin_place_status));
 	gathered->backends =
-		g_array_new(FALSE, TRUE, sizeof(struct admin_backend));
-	gathered->nodes = g_array_new(FALSE, TRUE, sizeof(struct admin_node));
+		g_array_new(FALSE, TRUE, sizeof(struct admin_backend_status));
+	gathered->nodes =
+		g_array_new(FALSE, TRUE, sizeof(struct admin_node_status));
 	for (i = 0; i < snapshot->config->service_count; i++) {
 		gather_places(node, snapshot, i, gathered);
 		gather_backends(node, snapshot, i, gathered);
@@ -348,7 +350,7 @@
 	struct snapshot *snapshot = snapshot_get(node);
 	struct gathered gathered = { 0 };
 	struct steer_choice choice;
-	struct admin_live live = { 0 };
+	struct admin_live_state live = { 0 };
 	GError *error = NULL;
 
 	if (!snapshot) {
@@ -357,11 +359,12 @@
 		return RESULT_NO_CONFIG;
 	}
 	gather(node, snapshot, &gathered);
-	live.places = (const struct admin_place *)gathered.places->data;
+	live.places = (const struct admin_place_status *)gathered.places->data;
 	live.place_count = gathered.places->len;
-	live.backends = (const struct admin_backend *)gathered.backends->data;
+	live.backends =
+		(const struct admin_backend_status *)gathered.backends->data;
 	live.backend_count = gathered.backends->len;
-	live.nodes = (const struct admin_node *)gathered.nodes->data;
+	live.nodes = (const struct admin_node_status *)gathered.nodes->data;
 	live.node_count = gathered.nodes->len;
 	live.shift_shares_permille = gathered.shares_permille;
 	if (query->verb == QUERY_WHERE &&
--- a/packages/node/entry.c
+++ b/packages/node/entry.c
@@ -267,7 +267,7 @@
 
 	if (result == RESULT_OK || result == RESULT_UNKNOWN_SERVICE)
 		return false;
-	if (!result_is_not_run(result) &&
+	if (!result_proves_not_run(result) &&
 	    !(passage->idempotent && result == RESULT_ATTEMPTS_FAILED))
 		return false;
 	return state_now_us(passage->node) < passage->request->deadline_us;
@@ -288,7 +288,7 @@
 	set_shift(passage, choice);
 	serve_at(passage, choice->place);
 	if (passage->answer->result != RESULT_OK &&
-	    !result_is_not_run(passage->answer->result))
+	    !result_proves_not_run(passage->answer->result))
 		passage->may_have_run = true;
 	learn(passage, choice, start_us);
 	steer->tried[steer->tried_count++] = choice->place;
@@ -340,7 +340,8 @@
 	 * The last attempt was refused, but an earlier one broke and may have
 	 * run: "not run" would be true of the attempt only.
 	 */
-	if (passage->may_have_run && result_is_not_run(passage->answer->result))
+	if (passage->may_have_run &&
+	    result_proves_not_run(passage->answer->result))
 		answer_set(passage->answer, RESULT_ATTEMPTS_FAILED,
 			   passage->answer->retry_after_us);
 }
@@ -358,7 +359,7 @@
 	 * later one, and would make a record that its caller was told
 	 * doesn't exist. The next try takes a new ticket.
 	 */
-	if (result_is_not_run(answer->result))
+	if (result_proves_not_run(answer->result))
 		state = LEDGER_FENCED;
 	if (answer->result == RESULT_OK) {
 		state = LEDGER_DONE;
@@ -496,7 +497,7 @@
 		run(passage);
 	else
 		run_ticket(passage);
-	if (result_is_not_run(passage->answer->result))
+	if (result_proves_not_run(passage->answer->result))
 		metric_add(passage->service->refused, 1);
 	metric_observe_us(passage->service->latency,
 			  state_now_us(passage->node) - now_us);
--- a/packages/node/hop.c
+++ b/packages/node/hop.c
@@ -211,7 +211,7 @@
 			      answer);
 	/* The second sending was refused; the first one may run all the same.
 	 */
-	if (got.repeated && result_is_not_run(answer->result))
+	if (got.repeated && result_proves_not_run(answer->result))
 		answer_set(answer, RESULT_ATTEMPTS_FAILED,
 			   answer->retry_after_us);
 	if (answer->result == RESULT_CONNECT_FAILED)
@@ -235,7 +235,7 @@
 	if (answer->result == RESULT_OK) {
 		answer_to_kept(answer, &kept);
 		ledger_finish(ledger, id, LEDGER_DONE, &kept);
-	} else if (result_is_not_run(answer->result)) {
+	} else if (result_proves_not_run(answer->result)) {
 		/*
 		 * A refused attempt stays refused: the entry node may already
 		 * go on to the next one, so a second copy of this must not run.
--- a/tests/core/admin_test.cc
+++ b/tests/core/admin_test.cc
@@ -32,12 +32,12 @@
 
 /* What n1 of p1 knows: p2 never reported, and n2 is a version behind. */
 struct known {
-	struct admin_place places[2] = {};
-	struct admin_backend backends[1] = {};
-	struct admin_node nodes[2] = {};
+	struct admin_place_status places[2] = {};
+	struct admin_backend_status backends[1] = {};
+	struct admin_node_status nodes[2] = {};
 	uint32_t shares[1] = { 250 };
 	struct steer_choice choice = {};
-	struct admin_live live = {};
+	struct admin_live_state live = {};
 
 	known()
 	{
@@ -63,7 +63,7 @@
 	}
 };
 
-static json_t *ask(const char *sentence, const struct admin_live *live)
+static json_t *ask(const char *sentence, const struct admin_live_state *live)
 {
 	struct config *config =
 		config_decode(document, strlen(document), nullptr);
@@ -169,7 +169,8 @@
 	return text;
 }
 
-static void expect_table(const table_case &c, const struct admin_live *live)
+static void expect_table(const table_case &c,
+			 const struct admin_live_state *live)
 {
 	json_t *root = ask(c.sentence, live);
 
@@ -192,7 +193,7 @@
 
 TEST(AdminTable, ShowsNullForWhatIsNot)
 {
-	const struct admin_live nothing = {};
+	const struct admin_live_state nothing = {};
 
 	for (const table_case &c : unknown_cases)
 		expect_table(c, &nothing);
@@ -249,7 +250,7 @@
 		  R"({"result":501,"name":"internal","message":"no choice )"
 		  R"(was made for the question"})" },
 	};
-	const struct admin_live nothing = {};
+	const struct admin_live_state nothing = {};
 
 	for (const auto &c : cases) {
 		json_t *root = ask(c.sentence, &nothing);
--- a/tests/core/ledger_test.cc
+++ b/tests/core/ledger_test.cc
@@ -149,7 +149,7 @@
 	}
 	EXPECT_EQ(10u, ledger_bytes(ledger));
 	EXPECT_EQ(RESULT_ANSWER_DROPPED, start("a"));
-	EXPECT_FALSE(result_is_not_run(RESULT_ANSWER_DROPPED));
+	EXPECT_FALSE(result_proves_not_run(RESULT_ANSWER_DROPPED));
 	EXPECT_EQ(RESULT_OK, start("b"));
 	EXPECT_STREQ("12345", kept->body);
 }
--- a/tests/core/pages_test.cc
+++ b/tests/core/pages_test.cc
@@ -101,7 +101,7 @@
 	struct config *config =
 		config_decode(text.data(), text.size(), nullptr);
 	struct steer_choice choice = {};
-	struct admin_live live = {};
+	struct admin_live_state live = {};
 	struct query query;
 	std::vector<std::string> columns;
 
--- a/tests/core/query_test.cc
+++ b/tests/core/query_test.cc
@@ -420,7 +420,7 @@
 	after = apply(config, c.text, "now", &error);
 	if (after) {
 		ASSERT_TRUE(query_parse(c.text, &query, nullptr));
-		described = query_describe(&query, "now");
+		described = query_describe_effect(&query, "now");
 		EXPECT_EQ(RESULT_OK, c.code);
 		EXPECT_STREQ(c.message, described);
 		EXPECT_EQ(9u, config_find_command(after, "now"));
--- a/tests/core/result_test.cc
+++ b/tests/core/result_test.cc
@@ -20,7 +20,7 @@
 
 	EXPECT_EQ(c.number, (int)code);
 	EXPECT_STREQ(c.name, result_name(code));
-	EXPECT_EQ(c.not_run, result_is_not_run(code));
+	EXPECT_EQ(c.not_run, result_proves_not_run(code));
 	EXPECT_EQ(c.exit_status, result_exit_status(code));
 }
 
--- a/tests/tools/caller.c
+++ b/tests/tools/caller.c
@@ -245,7 +245,7 @@
 	if (result == RESULT_OK)
 		return end_answered(attempt);
 	if (result != EXCHANGE_NO_RESULT &&
-	    result_is_not_run(result_from_number(result)))
+	    result_proves_not_run(result_from_number(result)))
 		return after_refusal(attempt);
 	return end_call(attempt, CALL_UNKNOWN);
 }
@@ -306,7 +306,7 @@
 	if (result == RESULT_IN_PROGRESS || result == RESULT_TIMED_OUT)
 		return ask_again(attempt);
 	if (result != EXCHANGE_NO_RESULT &&
-	    result_is_not_run(result_from_number(result)))
+	    result_proves_not_run(result_from_number(result)))
 		return after_not_run(attempt);
 	return end_call(attempt, CALL_UNKNOWN);
 }
--- a/tests/tools/exchange.c
+++ b/tests/tools/exchange.c
@@ -88,7 +88,7 @@
 		return EXCHANGE_NOT_SENT;
 	/* A refusal on the second connection proves nothing of the first. */
 	if (code == CURLE_OK && exchange->connections > 1 &&
-	    result_is_not_run(result))
+	    result_proves_not_run(result))
 		return EXCHANGE_CUT;
 	if (code == CURLE_OK)
 		return EXCHANGE_WHOLE;
