--- a/packages/core/query.c
+++ b/packages/core/query.c
@@ -4,15 +4,15 @@
 
 #include "core/result.h"
 
-/* Bytes of a word that an error message repeats. */
+/* Maximum bytes of a word that an error message quotes. */
 #define MAX_QUOTED_BYTES 40
 
-/* Longest keyword and longest word that is compared with one. */
+/* Longer words are not compared with keywords for a suggestion. */
 #define MAX_KEYWORD_BYTES 16
 
 /*
- * Letters by which a word may differ from the keyword that was meant, as long
- * as more than half of them agree.
+ * Maximum edit distance between a misspelt word and the suggested keyword.
+ * More than half of the keyword's letters must also be right.
  */
 #define MAX_SUGGESTION_EDITS 2
 
@@ -20,22 +20,22 @@
 
 #define FINGERPRINT_DIGITS 16
 
-/* A sentence and the word that the parser stands at. */
+/* Parser state: the current word and the text after it. */
 struct parser {
-	const char *rest; /* what follows the word */
+	const char *rest; /* text after the word */
 	char word[QUERY_MAX_BYTES + 1];
-	bool at_end; /* no word is left */
-	uint32_t position; /* of the word, from 1 */
+	bool at_end; /* no words are left; word is empty */
+	uint32_t position; /* number of the word, from 1 */
 	GError **error;
 };
 
+/* The first keyword of a sentence and the parser for the rest. */
 struct grammar_rule {
 	const char *keyword;
-	enum query_verb verb; /* show sets its own by what is shown */
+	enum query_verb verb; /* parse_show() overrides it */
 	bool (*parse)(struct parser *parser, struct query *query);
 };
 
-/* What messages call the kinds of objects. */
 static const char *const entity_type_names[] = {
 	[QUERY_ENTITY_NONE] = "thing",	    [QUERY_ENTITY_PLACE] = "place",
 	[QUERY_ENTITY_NODE] = "node",	    [QUERY_ENTITY_BACKEND] = "backend",
@@ -56,6 +56,7 @@
 	return c == ' ' || c == '\t';
 }
 
+/* Make the text up to end the current word. */
 static void set_word(struct parser *parser, const char *end)
 {
 	size_t len = (size_t)(end - parser->rest);
@@ -65,6 +66,7 @@
 	parser->rest = end;
 }
 
+/* A word in double quotes may contain blanks; there are no escapes. */
 static bool read_quoted_word(struct parser *parser)
 {
 	const char *end;
@@ -82,7 +84,7 @@
 	return true;
 }
 
-/* Move to the next word, or to the end. */
+/* Move to the next word or the end; false if a quote is not closed. */
 static bool advance(struct parser *parser)
 {
 	const char *end;
@@ -101,7 +103,7 @@
 	return true;
 }
 
-/* The word in quotes, shortened and made valid UTF-8; for g_free(). */
+/* The word in quotes, truncated and made valid UTF-8; for g_free(). */
 static char *quote_word(const char *word)
 {
 	size_t len = strlen(word);
@@ -115,6 +117,7 @@
 	return quoted;
 }
 
+/* Set an error at the current word. suggestion may be NULL. */
 static bool fail_at_word(const struct parser *parser, enum result code,
 			 const char *expected, const char *suggestion)
 {
@@ -145,8 +148,8 @@
 }
 
 /*
- * Edits (a letter more, less, other, or two neighbours swapped) between two
- * words of at most MAX_KEYWORD_BYTES, upper and lower case being equal.
+ * Damerau-Levenshtein distance (insert, delete, replace, swap two adjacent
+ * letters) of two words of at most MAX_KEYWORD_BYTES, ignoring case.
  */
 static uint32_t edit_distance(const char *a, const char *b)
 {
@@ -178,7 +181,7 @@
 	return cost[a_len][b_len];
 }
 
-/* The keyword that the word is a misspelling of, or NULL. */
+/* The keyword that the word probably misspells, or NULL. */
 static const char *closest_keyword(const char *word,
 				   const char *const *keywords)
 {
@@ -198,7 +201,7 @@
 	return closest;
 }
 
-/* "'a', 'b' or 'c'", for g_free(). */
+/* The keywords as "'a', 'b' or 'c'", for g_free(). */
 static char *list_keywords(const char *const *keywords, bool allow_end)
 {
 	GString *text = g_string_new(NULL);
@@ -217,8 +220,9 @@
 }
 
 /*
- * Take one of the keywords (NULL ends them) and store its index; where the end
- * is allowed too, it stores the number of keywords.
+ * Expect one of the keywords (a NULL-terminated list), store its index and
+ * advance. With allow_end the end is accepted too: the index is then the number
+ * of keywords.
  */
 static bool expect_keyword(struct parser *parser, const char *const *keywords,
 			   bool allow_end, uint32_t *index)
@@ -284,7 +288,7 @@
 				 id, ID_SIZE);
 }
 
-/* Digits at *text; one too great to hold counts as UINT32_MAX. */
+/* Read a decimal number at *text; numbers too large become UINT32_MAX. */
 static bool read_digits(const char **text, uint32_t *number)
 {
 	size_t len = strspn(*text, "0123456789");
@@ -299,7 +303,7 @@
 	return len > 0;
 }
 
-/* "30%" or "2.5%" in thousandths; too great counts as UINT32_MAX. */
+/* Read "30%" or "2.5%"; 101% and more become UINT32_MAX. */
 static bool read_percent(const char *text, uint32_t *permille)
 {
 	uint32_t percent;
@@ -321,6 +325,7 @@
 	return !strcmp(text, "%");
 }
 
+/* Read "40/s". */
 static bool read_rate(const char *text, uint32_t *per_s)
 {
 	return read_digits(&text, per_s) && !strcmp(text, "/s");
@@ -359,13 +364,13 @@
 
 static bool parse_where(struct parser *parser, struct query *query)
 {
-	static const char *const object[] = { "object", NULL };
+	static const char *const keywords[] = { "object", NULL };
 	uint32_t index;
 
 	if (!expect_name(parser, QUERY_ENTITY_SERVICE, query->service) ||
 	    !expect_one_keyword(parser, "from") ||
 	    !expect_name(parser, QUERY_ENTITY_PLACE, query->from) ||
-	    !expect_keyword(parser, object, true, &index))
+	    !expect_keyword(parser, keywords, true, &index))
 		return false;
 	if (index == 0 &&
 	    !expect_identifier(parser, "an object's key (1 to 127 letters)",
@@ -374,7 +379,7 @@
 	return expect_end(parser);
 }
 
-/* What follows "show backends": "of SERVICE", "in PLACE", both or neither. */
+/* Optional filters of "show backends": [of SERVICE] [in PLACE]. */
 static bool parse_backend_filters(struct parser *parser, struct query *query)
 {
 	static const char *const both[] = { "of", "in", NULL };
@@ -468,7 +473,7 @@
 	       expect_end(parser);
 }
 
-/* As logs and "show suspects" write it. */
+/* The format that logs and "show suspects" use. */
 static bool parse_fingerprint(struct parser *parser, struct query *query)
 {
 	size_t digits = strspn(parser->word, "0123456789abcdef");
@@ -506,6 +511,7 @@
 	{ "load", QUERY_CMD_LOAD, parse_load },
 };
 
+/* Reject control characters (tabs are allowed) and overlong sentences. */
 static bool check_bytes(const char *text, GError **error)
 {
 	size_t i;
--- a/packages/core/query_apply.c
+++ b/packages/core/query_apply.c
@@ -64,6 +64,7 @@
 	return *index != CONFIG_NONE;
 }
 
+/* Whether the place has an undrained node. */
 static bool has_undrained_node(const struct config *config, uint32_t place)
 {
 	uint32_t i;
@@ -90,7 +91,7 @@
 	return false;
 }
 
-/* Whether the place may be given requests of the service. */
+/* Whether the place can take requests of the service. */
 static bool place_serves(const struct config *config, uint32_t service,
 			 uint32_t place)
 {
@@ -99,6 +100,7 @@
 	       has_undrained_backend(config, service, place);
 }
 
+/* Whether some place can take requests of the service. */
 static bool has_serving_place(const struct config *config, uint32_t service)
 {
 	uint32_t i;
@@ -114,7 +116,7 @@
 	return false;
 }
 
-/* Shares that shifts take of the service's requests from the place. */
+/* Sum of the shares of all shifts of the service away from the place. */
 static uint32_t sum_shift_shares_permille(const struct config *config,
 					  uint32_t service, uint32_t from)
 {
@@ -195,12 +197,13 @@
 				     "it comes from",
 				     shift.id, query->to);
 	if (config_find_shift(config, shift.id) != CONFIG_NONE)
-		return fail_conflict(change, "shift '%s' stands already",
+		return fail_conflict(change, "shift '%s' already exists",
 				     shift.id);
 	if (config->shift_count >= CONFIG_MAX_SHIFTS)
-		return fail_conflict(change,
-				     "%d shifts stand already; cancel one",
-				     CONFIG_MAX_SHIFTS);
+		return fail_conflict(
+			change,
+			"%d shifts exist already, the maximum; cancel one",
+			CONFIG_MAX_SHIFTS);
 	shift.seats = config_default_seats(config, shift.to);
 	config_add_shift(config, &shift);
 	return check_shift_target(change, &shift) &&
@@ -235,7 +238,7 @@
 	}
 }
 
-/* No shift may lose the place that it goes to. */
+/* Fail if a shift's destination could no longer serve its service. */
 static bool check_destinations_remain(const struct change *change)
 {
 	const struct config *config = change->after;
@@ -257,7 +260,7 @@
 	return true;
 }
 
-/* No running service may lose the last place that serves it. */
+/* Fail if a running service would lose its last serving place. */
 static bool check_services_remain(const struct change *change)
 {
 	uint32_t i;
@@ -316,9 +319,9 @@
 	case QUERY_CMD_START:
 		return apply_stop(change, query);
 	default:
-		g_set_error_literal(change->error, RESULT_ERROR,
-				    RESULT_INTERNAL,
-				    "the sentence changes nothing by itself");
+		g_set_error_literal(
+			change->error, RESULT_ERROR, RESULT_INTERNAL,
+			"the sentence is not a command that can be applied");
 		return false;
 	}
 }
@@ -361,7 +364,7 @@
 	return true;
 }
 
-/* Put the command ids of the present configuration in the new one's place. */
+/* Replace the document's command history by that of the old configuration. */
 static void keep_command_history(const struct change *change)
 {
 	struct config *after = change->after;
@@ -379,10 +382,10 @@
 }
 
 /*
- * A seat carries the cap's part by the number of seats. If that changed with
- * the place's nodes, a holder on the old version would admit an old, larger
- * part beside the new ones: 50 and 33 and 33 of a cap of 100. So it stays as it
- * was when the shift was made, whatever a document says.
+ * Keep the seat count of existing shifts, whatever the document says: a seat
+ * admits its fraction of the cap, 1/count. If the count changed when nodes
+ * are added, a node still on the old version would admit the old, larger
+ * fraction beside the new ones: for a cap of 100, 50 + 33 + 33 = 116.
  */
 static void keep_seat_counts(const struct change *change)
 {
@@ -391,10 +394,10 @@
 
 	for (i = 0; before && i < change->after->shift_count; i++) {
 		struct config_shift *shift = &change->after->shifts[i];
-		uint32_t known = config_find_shift(before, shift->id);
+		uint32_t index = config_find_shift(before, shift->id);
 
-		if (known != CONFIG_NONE)
-			shift->seats = before->shifts[known].seats;
+		if (index != CONFIG_NONE)
+			shift->seats = before->shifts[index].seats;
 	}
 }
 
@@ -421,7 +424,7 @@
 static char *describe_shift(const struct query *query, const char *command_id)
 {
 	return g_strdup_printf(
-		"shift %s stands: service %s from %s to %s, share %u.%u%%, "
+		"shift %s is in force: service %s from %s to %s, share %u.%u%%, "
 		"cap %u/s",
 		*query->shift ? query->shift : command_id, query->service,
 		query->from, query->to,
@@ -449,7 +452,7 @@
 	case QUERY_CMD_START:
 		return g_strdup_printf("service %s is started", query->name);
 	case QUERY_CMD_LOAD:
-		return g_strdup("the document is replaced");
+		return g_strdup("the configuration is replaced");
 	default:
 		return g_strdup("");
 	}
