--- a/packages/core/admin.c
+++ b/packages/core/admin.c
@@ -5,14 +5,13 @@
 
 #include "core/admin_json.h"
 
-/* Room for the other members around the largest document. */
-
 static bool bad_request(GError **error, const char *message)
 {
 	g_set_error_literal(error, RESULT_ERROR, RESULT_BAD_REQUEST, message);
 	return false;
 }
 
+/* Copy a JSON string; false if it is none or doesn't fit size. */
 static bool read_text(const json_t *value, char *text, size_t size)
 {
 	const char *string = json_string_value(value);
@@ -63,7 +62,7 @@
 		if (!read_member(request, member, value, error))
 			return false;
 	if (!json_object_get(root, "sentence"))
-		return bad_request(error, "sentence: must be there");
+		return bad_request(error, "sentence: is required");
 	return true;
 }
 
--- a/packages/core/admin_json.h
+++ b/packages/core/admin_json.h
@@ -1,5 +1,5 @@
 /*
- * admin_json - the members that every JSON answer has, and safe values in them
+ * admin_json - building blocks of JSON answers
  */
 #ifndef CORE_ADMIN_JSON_H
 #define CORE_ADMIN_JSON_H
@@ -17,20 +17,20 @@
 /* An object with "result", "name" and "message". */
 json_t *admin_json_new_answer(enum result code, const char *message);
 
-/* The object as text for g_free(); the object is released. */
+/* Convert the object to text for g_free(), and release the object. */
 char *admin_json_to_text(json_t *root);
 
-/* A number, at most INT64_MAX as JSON holds it. */
+/* A number; values above INT64_MAX, jansson's limit, become INT64_MAX. */
 json_t *admin_json_number(uint64_t value);
 
-/* A text; what isn't valid UTF-8, which JSON can't hold, is replaced. */
+/* A string; invalid UTF-8, which JSON doesn't allow, is replaced. */
 json_t *admin_json_text(const char *text);
 
-/* A value that may not be known: null then. */
+/* A value, or null if it isn't known. */
 json_t *admin_json_number_or_null(bool known, uint64_t value);
 json_t *admin_json_boolean_or_null(bool known, bool value);
 
-/* An age or an expected time, of which UINT64_MAX means that there is none. */
+/* A time in microseconds, or null for UINT64_MAX, which stands for none. */
 json_t *admin_json_time_us_or_null(uint64_t value_us);
 
 #ifdef __cplusplus
--- a/packages/core/admin_show.c
+++ b/packages/core/admin_show.c
@@ -2,13 +2,13 @@
 
 #include "core/admin_json.h"
 
-/* What all known reports of a service or a place add up to. */
+/* Sum of the known load reports of a service or a place. */
 struct load_sum {
 	uint64_t slots;
 	uint64_t in_flight;
 	uint64_t waiting;
-	uint64_t oldest_us;
-	bool known;
+	uint64_t oldest_us; /* age of the oldest report */
+	bool known; /* there is a report */
 };
 
 static const char *const place_columns[] = {
@@ -64,7 +64,7 @@
 	return NULL;
 }
 
-/* Sum up the reports; CONFIG_NONE stands for any service or any place. */
+/* Add up the reports; CONFIG_NONE matches any service or place. */
 static struct load_sum sum_load(const struct admin_live_state *live,
 				uint32_t service, uint32_t place)
 {
@@ -88,6 +88,7 @@
 	return sum;
 }
 
+/* An answer with the table and a message such as "2 places". */
 static json_t *finish_table(struct admin_table *table,
 			    const struct config *config, const char *item_name)
 {
@@ -102,6 +103,7 @@
 	return root;
 }
 
+/* CONFIG_NONE matches any service or place. */
 static bool backend_matches(const struct config_backend *backend,
 			    uint32_t service, uint32_t place)
 {
@@ -244,7 +246,7 @@
 	ADMIN_TABLE_ADD(table, backend_columns, values);
 }
 
-/* Index that a filter names, CONFIG_NONE where it is empty. */
+/* Index of the entity that a filter names; CONFIG_NONE if it is empty. */
 static bool find_filter(const struct admin_query_context *context,
 			enum query_entity object, const char *name,
 			uint32_t *index, GError **error)
@@ -386,7 +388,7 @@
 		return show_version(context);
 	default:
 		g_set_error_literal(error, RESULT_ERROR, RESULT_INTERNAL,
-				    "the sentence shows nothing");
+				    "the sentence is not a show query");
 		return NULL;
 	}
 }
--- a/packages/core/admin_table.c
+++ b/packages/core/admin_table.c
@@ -2,10 +2,6 @@
 
 #include "core/admin_json.h"
 
-/*
- * Tables
- */
-
 struct admin_table admin_table_new(const char *const *columns,
 				   size_t column_count)
 {
@@ -37,10 +33,6 @@
 	json_object_set_new(root, "rows", table->rows);
 }
 
-/*
- * What several answers are made from
- */
-
 bool *admin_find_service_places(const struct config *config, uint32_t service)
 {
 	bool *service_places = g_new0(bool, config->place_count + 1);
@@ -76,8 +68,9 @@
 	case QUERY_SHOW_VERSION:
 		return admin_show(context, error);
 	default:
-		g_set_error_literal(error, RESULT_ERROR, RESULT_UNKNOWN_NAME,
-				    "this kind of node has no such table");
+		g_set_error_literal(
+			error, RESULT_ERROR, RESULT_UNKNOWN_NAME,
+			"this kind of node does not have that table");
 		return NULL;
 	}
 }
--- a/packages/core/admin_where.c
+++ b/packages/core/admin_where.c
@@ -2,6 +2,7 @@
 
 #include "core/admin_json.h"
 
+/* A where query with its names resolved to indices. */
 struct where_query {
 	const struct admin_query_context *context;
 	const struct steer_choice *choice;
@@ -28,6 +29,7 @@
 	return NULL;
 }
 
+/* Ids of the shifts to the place and the sum of their current shares. */
 static json_t *list_shifts_to(const struct where_query *where_query,
 			      uint32_t place, uint64_t *permille)
 {
@@ -105,7 +107,7 @@
 			       share % QUERY_PERMILLE_PER_PERCENT, place);
 }
 
-/* The rule that decided, as a sentence for g_free(). */
+/* The rule behind the choice as a line of text, for g_free(). */
 static char *describe_choice(const struct where_query *where_query)
 {
 	const struct config *config = where_query->context->config;
@@ -175,7 +177,7 @@
 		return NULL;
 	if (!where_query.choice) {
 		g_set_error_literal(error, RESULT_ERROR, RESULT_INTERNAL,
-				    "no choice was made for the question");
+				    "the query has no routing choice");
 		return NULL;
 	}
 	return build_where_answer(&where_query);
--- a/packages/core/config.c
+++ b/packages/core/config.c
@@ -5,6 +5,7 @@
 
 #include "core/config_lists.h"
 
+/* One-way delays where no link is listed: within a region, between regions. */
 #define DEFAULT_ONE_WAY_WITHIN_US 500
 #define DEFAULT_ONE_WAY_BETWEEN_US 100000
 
@@ -111,7 +112,7 @@
 	g_free(config);
 }
 
-/* Items begin with their name or id. */
+/* Find an item by name; each item struct begins with its name or id. */
 static uint32_t find_item(const void *items, uint32_t count, size_t item_size,
 			  const char *name)
 {
@@ -218,7 +219,7 @@
 	return NULL;
 }
 
-/* The link between two places' regions, listed either way; NULL if neither. */
+/* The link between the regions of two places in either direction, or NULL. */
 static const struct config_link *link_between(const struct config *config,
 					      uint32_t from, uint32_t to)
 {
@@ -256,6 +257,7 @@
 	return link ? link->limit_per_s : 0;
 }
 
+/* Place of the block with exactly this prefix, or CONFIG_NONE. */
 static uint32_t find_block(const struct config *config, uint32_t prefix,
 			   uint32_t bits)
 {
--- a/packages/core/config_decode.c
+++ b/packages/core/config_decode.c
@@ -10,24 +10,25 @@
 #include "core/result.h"
 
 #define MIN_TIMEOUT_US 1000
-#define MAX_TIMEOUT_US 3600000000ll
+#define MAX_TIMEOUT_US 3600000000ll /* 1 h */
 #define MAX_SLOTS 65536
-#define MAX_ONE_WAY_US 10000000
+#define MAX_ONE_WAY_US 10000000 /* 10 s */
 #define MAX_PERMILLE 1000
 
 /*
- * Where in the document the reading is, so that an error can name it, and the
- * names read so far: each of 160,000 blocks names one of hundreds of places, so
- * that a search through the list for each took most of the time of decoding.
+ * The current position in the document, for error messages, and the names read
+ * so far. They are hashed because each of 160,000 blocks may name one of
+ * hundreds of places: linear searches took most of the decoding time.
  */
 struct reader {
-	const char *list; /* "services" */
-	size_t index; /* in the list */
+	const char *list; /* name, such as "services" */
+	size_t index; /* of item in the list */
 	json_t *item;
-	GHashTable *const *names; /* by enum config_list: name to index */
+	GHashTable *const *names; /* by enum config_list: item name to index */
 	GError **error;
 };
 
+/* Set the error "LIST[INDEX].MEMBER: must be ALLOWED". */
 static bool fail_member(const struct reader *reader, const char *member,
 			const char *allowed)
 {
@@ -56,7 +57,7 @@
 		json_string_value(json_object_get(reader->item, "address"));
 
 	if (!text || !endpoint_is_address(text))
-		return fail_member(reader, "address", "an IPv4 number");
+		return fail_member(reader, "address", "an IPv4 address");
 	g_strlcpy(address, text, NAME_SIZE);
 	return true;
 }
@@ -126,7 +127,7 @@
 	return true;
 }
 
-/* Read a member that names an item of another list. */
+/* Read a member that names an item of another list, as its index. */
 static bool read_reference(const struct reader *reader, const char *member,
 			   enum config_list list, uint32_t *index)
 {
@@ -137,12 +138,12 @@
 	if (!text || !g_hash_table_lookup_extended(reader->names[list], text,
 						   NULL, &found))
 		return fail_member(reader, member,
-				   "a name that the document lists");
+				   "a name defined in the document");
 	*index = GPOINTER_TO_UINT(found);
 	return true;
 }
 
-/* Refuse a member that no field is read from, so that a typo is seen. */
+/* Reject unknown members, so that typing errors are noticed. */
 static bool check_members(const struct reader *reader,
 			  const char *const *members)
 {
@@ -153,8 +154,9 @@
 		return fail_member(reader, "", "an object");
 	json_object_foreach (reader->item, key, value) {
 		if (!g_strv_contains(members, key))
-			return fail_member(reader, key,
-					   "left out: it is unknown");
+			return fail_member(
+				reader, key,
+				"left out: it is not a known member");
 	}
 	return true;
 }
@@ -274,7 +276,7 @@
 		      &shift->cap_per_s))
 		return false;
 	if (shift->from == shift->to)
-		return fail_member(reader, "to", "another place than from");
+		return fail_member(reader, "to", "a place other than from");
 	if (!json_object_get(reader->item, "seats")) {
 		shift->seats = config_default_seats(config, shift->to);
 		return true;
@@ -324,11 +326,10 @@
 	       read_u64(reader, "version", 0, INT64_MAX, &command->version);
 }
 
-/* How a list is read, and what holds for it as a whole. */
+/* How to decode a list and its items. */
 struct list_reader {
 	size_t most;
-	const char *key; /* the items' first field, unique in the list, or NULL
-			  */
+	const char *key; /* unique member of the items, or NULL */
 	bool (*read)(const struct reader *, struct config *, uint32_t);
 };
 
@@ -343,13 +344,14 @@
 	[CONFIG_LIST_COMMANDS] = { CONFIG_COMMANDS_KEPT, "id", read_command },
 };
 
+/* Add the current item's name to the table; fail if it is taken. */
 static bool add_name(const struct reader *reader, GHashTable *names,
 		     const char *key, const char *name)
 {
 	if (g_hash_table_insert(names, (gpointer)name,
 				GUINT_TO_POINTER(reader->index)))
 		return true;
-	return fail_member(reader, key, "unlike the others of its list");
+	return fail_member(reader, key, "unique in its list");
 }
 
 static bool read_list(enum config_list which, json_t *json,
@@ -384,6 +386,7 @@
 	return ok;
 }
 
+/* Reject unknown members of the document itself. */
 static bool check_list_names(json_t *root, GError **error)
 {
 	const char *key;
--- a/packages/core/config_lists.h
+++ b/packages/core/config_lists.h
@@ -1,5 +1,5 @@
 /*
- * config_lists - the lists of struct config, for what handles them all alike
+ * config_lists - generic access to the lists of struct config
  *
  * Internal to config.c and config_decode.c.
  */
@@ -11,7 +11,7 @@
 
 #include "core/config.h"
 
-/* Lists in the order of reading: later ones refer to earlier ones. */
+/* Lists in decoding order: items refer only to earlier lists by name. */
 enum config_list {
 	CONFIG_LIST_SERVICES,
 	CONFIG_LIST_PLACES,
@@ -24,9 +24,9 @@
 	CONFIG_LIST_COUNT,
 };
 
-/* Where struct config keeps a list. */
+/* Position of a list in struct config. */
 struct config_list_field {
-	const char *name; /* the document's member */
+	const char *name; /* of the document's member */
 	size_t item_size;
 	size_t items_offset; /* of the array's pointer in struct config */
 	size_t count_offset;
@@ -34,11 +34,11 @@
 
 extern const struct config_list_field config_list_fields[CONFIG_LIST_COUNT];
 
-/* The array's pointer and its count in this configuration. */
+/* Pointers to the array and the item count of a list. */
 void **config_list_items(struct config *config, enum config_list list);
 uint32_t *config_list_count(struct config *config, enum config_list list);
 
-/* The order in which struct config keeps blocks, for qsort() and bsearch(). */
+/* Sort order of config->blocks, for qsort() and bsearch(). */
 int config_compare_blocks(const void *a, const void *b);
 
 #endif
--- a/packages/core/query_apply.c
+++ b/packages/core/query_apply.c
@@ -382,10 +382,10 @@
 }
 
 /*
- * Keep the seat count of existing shifts, whatever the document says: a seat
- * admits its fraction of the cap, 1/count. If the count changed when nodes
- * are added, a node still on the old version would admit the old, larger
- * fraction beside the new ones: for a cap of 100, 50 + 33 + 33 = 116.
+ * Keep the seat count of existing shifts, whatever the document says. The
+ * quota of a seat is cap / count. If the count changed when nodes are added, a
+ * node still on the old version would admit the old, larger quota beside the
+ * new ones: for a cap of 100, 50 + 33 + 33 = 116.
  */
 static void keep_seat_counts(const struct change *change)
 {
--- a/packages/core/result.c
+++ b/packages/core/result.c
@@ -50,6 +50,7 @@
 
 G_DEFINE_QUARK(result - error - quark, result_error)
 
+/* NULL if no code has the number. */
 static const struct result_row *find_row(int number)
 {
 	size_t i;
--- a/packages/core/result.h
+++ b/packages/core/result.h
@@ -1,9 +1,9 @@
 /*
  * result - numbered result codes, the same at every interface
  *
- * The table with meanings stands in docs/RESULTS.md; the numbers never change.
- * 100 to 199 say "not run" and are true: the request did not run and never
- * will under that ticket and attempt. 200 to 299 leave it open.
+ * docs/RESULTS.md explains each code. The numbers never change. 100 to 199
+ * guarantee that the request did not run and never will under that ticket and
+ * attempt; 200 to 299 leave open whether it ran.
  */
 #ifndef CORE_RESULT_H
 #define CORE_RESULT_H
@@ -37,15 +37,16 @@
 	RESULT_CONNECT_FAILED = 116,
 	RESULT_OTHER_INCARNATION = 117, /* the node has restarted since */
 
-	/* Outcome unknown, or known elsewhere */
+	/* Outcome unknown, or known to another node */
 	RESULT_OUTCOME_UNKNOWN = 201,
 	RESULT_TICKET_ELSEWHERE = 202,
 	RESULT_IN_PROGRESS = 203,
 	RESULT_TIMED_OUT = 204,
 	RESULT_ATTEMPTS_FAILED = 205,
-	RESULT_ANSWER_DROPPED = 206, /* it ran; its answer isn't kept */
+	RESULT_ANSWER_DROPPED = 206, /* it ran; its answer is no longer stored
+				      */
 
-	/* Operators' commands */
+	/* Operators' queries and commands */
 	RESULT_SYNTAX = 301,
 	RESULT_CONFLICT = 302,
 	RESULT_UNKNOWN_NAME = 303,
@@ -60,7 +61,7 @@
 	RESULT_CONFIG_INVALID = 403,
 	RESULT_CONFIG_OLDER = 404,
 
-	/* Faults of the program or its host */
+	/* Errors of the program or its host */
 	RESULT_INTERNAL = 501,
 	RESULT_SYSTEM = 502,
 };
@@ -70,19 +71,19 @@
 
 GQuark result_error_quark(void);
 
-/* Lower-case name with dashes, as logs and answers print it; never NULL. */
+/* Lower-case name with dashes, for logs and answers; never NULL. */
 const char *result_name(enum result code);
 
-/* HTTP status that carries the code. */
+/* HTTP status of answers with the code. */
 int result_http_status(enum result code);
 
-/* Exit status of the command line: 0, or 1 to 5 by the code's hundred. */
+/* Exit status of command-line programs: 0, or 1 to 5 (code / 100). */
 int result_exit_status(enum result code);
 
-/* Whether the code proves that the request did not run and will not. */
+/* Whether the code guarantees that the request did not run and will not. */
 bool result_proves_not_run(enum result code);
 
-/* The code with this number, or RESULT_INTERNAL where there is none. */
+/* The code with this number, or RESULT_INTERNAL if there is none. */
 enum result result_from_number(int number);
 
 #ifdef __cplusplus
