--- a/tests/core/admin_test.cc
+++ b/tests/core/admin_test.cc
@@ -30,7 +30,7 @@
 		 "share_permille": 600, "cap_per_s": 40}]
 })";
 
-/* What n1 of p1 knows: p2 never reported, and n2 is a version behind. */
+/* Live state at n1 of p1: p2 has never reported, n2 is one version behind. */
 struct known {
 	struct admin_place_status places[2] = {};
 	struct admin_backend_status backends[1] = {};
@@ -131,7 +131,7 @@
 	  R"(true,null,0,[]]])" },
 };
 
-/* The same document at a node that has just started and knows nothing yet. */
+/* The same document at a node that has just started, without live state. */
 static const table_case unknown_cases[] = {
 	{ "show nodes", "2 nodes",
 	  R"([["n1","p1","127.0.0.1",1,2,false,null,null,null],)"
@@ -141,7 +141,7 @@
 	  R"([["n1","p1",null,null,null],["n2","p2",null,null,null]])" },
 };
 
-/* The rows as lists, having checked that each has the answer's columns. */
+/* The rows as lists in column order; checks that each row has all columns. */
 static std::string row_values(const json_t *root)
 {
 	const json_t *columns = json_object_get(root, "columns");
@@ -183,7 +183,7 @@
 	json_decref(root);
 }
 
-TEST(AdminTable, ShowsWhatIsKnown)
+TEST(AdminTable, ShowsKnownValues)
 {
 	struct known known;
 
@@ -191,7 +191,7 @@
 		expect_table(c, &known.live);
 }
 
-TEST(AdminTable, ShowsNullForWhatIsNot)
+TEST(AdminTable, ShowsNullForUnknownValues)
 {
 	const struct admin_live_state nothing = {};
 
@@ -199,7 +199,7 @@
 		expect_table(c, &nothing);
 }
 
-TEST(AdminWhere, SaysWhichRuleDecided)
+TEST(AdminWhere, NamesTheRuleBehindTheChoice)
 {
 	static const struct {
 		struct steer_choice choice;
@@ -231,7 +231,7 @@
 	}
 }
 
-TEST(AdminTable, NamesWhatIsUnknown)
+TEST(AdminTable, ErrorsNameTheUnknownEntity)
 {
 	static const struct {
 		const char *sentence;
@@ -260,7 +260,7 @@
 	}
 }
 
-TEST(AdminAnswer, HasTheMembersOfItsKind)
+TEST(AdminAnswer, HasTheExpectedMembers)
 {
 	static const struct {
 		char *text;
@@ -283,11 +283,11 @@
 	}
 }
 
-TEST(AdminRequest, IsReadWholeOrRefused)
+TEST(AdminRequest, IsParsedOrRejected)
 {
 	static const struct {
 		std::string body;
-		const char *message; /* empty: it is good */
+		const char *message; /* empty: the body is valid */
 	} cases[] = {
 		{ R"({"sentence":"show places"})", "" },
 		{ R"({"sentence":"load f","id":"c-1","expect":7,)"
@@ -334,7 +334,7 @@
 	}
 }
 
-TEST(AdminRequest, WhatIsNoJsonIsNamedByLine)
+TEST(AdminRequest, InvalidJsonIsReportedWithItsLine)
 {
 	struct admin_request request = {};
 	char document[] = "{\n\"";
--- a/tests/core/config_test.cc
+++ b/tests/core/config_test.cc
@@ -29,7 +29,7 @@
 	return config_decode(text.data(), text.size(), error);
 }
 
-TEST(Config, SurvivesEncodingAndDecoding)
+TEST(Config, EncodingAndDecodingPreservesIt)
 {
 	struct config *first = decode(good_document, nullptr);
 	ASSERT_NE(nullptr, first);
@@ -49,7 +49,7 @@
 	config_free(second);
 }
 
-TEST(Config, LongestBlockNamesThePlace)
+TEST(Config, LongestPrefixDecidesThePlace)
 {
 	struct config *config = decode(good_document, nullptr);
 	struct {
@@ -66,7 +66,7 @@
 	config_free(config);
 }
 
-TEST(Config, LinksCountBothWays)
+TEST(Config, LinksHoldInBothDirections)
 {
 	struct config *config = decode(good_document, nullptr);
 
@@ -77,7 +77,7 @@
 	config_free(config);
 }
 
-/* A change of the good document that must be refused, and why. */
+/* A change that makes the good document invalid, and text of the error. */
 struct bad_case {
 	const char *find;
 	const char *replace;
@@ -88,7 +88,7 @@
 {
 };
 
-TEST_P(BadConfig, IsRefusedWholeAndNamesTheMember)
+TEST_P(BadConfig, IsRejectedAndErrorNamesTheMember)
 {
 	const bad_case &c = GetParam();
 	std::string text = good_document;
@@ -152,17 +152,18 @@
 }
 
 /*
- * A shift's cap of 100 was split over two nodes. A third node is added to the
- * place: the holder that hasn't seen the change admits 50 a second, the two
- * others 33 each, and 116 arrive where the operator allowed 100.
+ * Guards against exceeding a shift's cap when nodes are added. A cap of 100 is
+ * split over two nodes, then a third is added. If the number of seats followed,
+ * a node still on the old version would admit 50 a second and the two others 33
+ * each: 116 in all.
  */
-TEST(Config, SeatsOfAStandingShiftNeverChange)
+TEST(Config, SeatsOfAnExistingShiftNeverChange)
 {
 	std::string text = good_document;
 	struct config *before;
 	struct config *after;
 
-	/* Where the shift goes there has to be a backend server. */
+	/* The shift's destination needs a backend server. */
 	text.replace(text.find("\"place\": \"sur-1\","), 17,
 		     "\"place\": \"central-2\",");
 	before = decode(text, nullptr);
--- a/tests/core/pages_test.cc
+++ b/tests/core/pages_test.cc
@@ -18,7 +18,7 @@
 	return page.str();
 }
 
-/* What stands between two texts, the first one after the place's start. */
+/* The text between the first start and the next end; empty if no start. */
 static std::string between(const std::string &page, const std::string &start,
 			   const std::string &end)
 {
@@ -30,7 +30,7 @@
 	return page.substr(from, page.find(end, from) - from);
 }
 
-/* The words in backticks, in order. */
+/* The texts in backticks, in order. */
 static std::vector<std::string> quoted(const std::string &text)
 {
 	std::vector<std::string> words;
@@ -45,13 +45,14 @@
 	return words;
 }
 
+/* The example document of docs/CONFIG.md. */
 static std::string example(void)
 {
 	return between(read_page("CONFIG.md"), "```json\n", "```");
 }
 
-/* An operator copies the page's document: it must be good as it stands. */
-TEST(ConfigPage, ItsDocumentIsGoodAndComesBackWithEachMember)
+/* Operators copy the example document, so it must be valid and complete. */
+TEST(ConfigPage, ExampleIsValidAndHasEveryMember)
 {
 	std::string text = example();
 	GError *error = nullptr;
@@ -83,7 +84,7 @@
 	config_free(config);
 }
 
-TEST(ConfigPage, ItsDocumentCanBeLoaded)
+TEST(ConfigPage, ExampleCanBeLoaded)
 {
 	std::string text = example();
 	GError *error = nullptr;
@@ -94,7 +95,7 @@
 	config_free(config);
 }
 
-/* The columns that the answer to the sentence has. */
+/* The columns of the answer to a query. */
 static std::vector<std::string> columns_of(const char *sentence)
 {
 	std::string text = example();
@@ -121,7 +122,7 @@
 	return columns;
 }
 
-TEST(ApiPage, HasTheColumnsOfEachTableInTheirOrder)
+TEST(ApiPage, HasTheColumnsOfEachTableInOrder)
 {
 	static const char *const tables[] = { "show places",   "show nodes",
 					      "show backends", "show services",
@@ -133,7 +134,7 @@
 		std::vector<std::string> shown =
 			quoted(between(page, start, "\n"));
 
-		/* Named in the words beside a column, and no column. */
+		/* "version" is in the description, it is no column. */
 		if (!strcmp(table, "show version"))
 			shown.erase(std::find(shown.begin(), shown.end(),
 					      "version"));
@@ -156,8 +157,8 @@
 	EXPECT_EQ(columns_of("where svc-historia from central-1"), shown);
 }
 
-/* The first column of the page's tables of sentences. */
-TEST(LanguagePage, ItsSentencesAreRead)
+/* The sentences are in the first column of the page's tables. */
+TEST(LanguagePage, ItsSentencesAreValid)
 {
 	std::stringstream page(read_page("LANGUAGE.md"));
 	std::string line;
--- a/tests/core/query_test.cc
+++ b/tests/core/query_test.cc
@@ -7,7 +7,10 @@
 #include <utility>
 #include <vector>
 
-/* Two services in three places; svc-b runs at two of them only. */
+/*
+ * svc-a runs at all three places, svc-b only at p2, and the stopped service
+ * "idle" nowhere; p3 is drained.
+ */
 static const char document[] = R"({
 	"services": [
 		{"name": "svc-a", "class": "interactive", "timeout_us": 2000000},
@@ -59,7 +62,7 @@
 	return message;
 }
 
-/* What the parser understood, each member that isn't empty by its name. */
+/* The parsed query as text: the verb and each member that isn't empty. */
 static std::string render(const struct query &query)
 {
 	static const char *const verbs[] = {
@@ -143,7 +146,7 @@
 {
 };
 
-TEST_P(GoodSentence, IsReadWhole)
+TEST_P(GoodSentence, ParsesEveryMember)
 {
 	const good_case &c = good_cases[GetParam()];
 	struct query query;
@@ -249,7 +252,7 @@
 {
 };
 
-TEST_P(BadSentence, NamesTheWordItStumbledOn)
+TEST_P(BadSentence, NamesTheOffendingWord)
 {
 	const bad_case &c = bad_cases[GetParam()];
 	struct query query;
@@ -264,13 +267,12 @@
 INSTANTIATE_TEST_SUITE_P(Sentences, BadSentence,
 			 testing::Range<size_t>(0, std::size(bad_cases)));
 
-/* Commands that an operator may give one after the other, and the last's end.
- */
+/* A command, the commands applied before it, and its result. */
 struct apply_case {
 	std::vector<const char *> before;
 	const char *text;
 	enum result code;
-	const char *message; /* of the error, or what became true */
+	const char *message; /* of the error, or the command's effect */
 };
 
 static const apply_case apply_cases[] = {
@@ -401,7 +403,7 @@
 	return query_apply(config, &query, id, error);
 }
 
-TEST_P(Apply, EndsAsTheTableSays)
+TEST_P(Apply, GivesTheExpectedResult)
 {
 	const apply_case &c = apply_cases[GetParam()];
 	struct config *config = base_config();
@@ -438,11 +440,12 @@
 			 testing::Range<size_t>(0, std::size(apply_cases)));
 
 /*
- * Two operators drain the two last places of a service at the same moment. Each
- * command is fine by itself; the second to reach the row is checked against the
- * first's outcome and refused, and the configuration before stays unchanged.
+ * Two operators each drain one of the last two places of a service at the same
+ * time. Either command alone is valid. The second one to be applied must be
+ * checked against the result of the first and fail, or no place would be left.
+ * The original configuration must not change.
  */
-TEST(Command, IsCheckedAgainstWhatTheOtherOperatorMade)
+TEST(Command, IsCheckedAgainstConcurrentCommands)
 {
 	struct config *config = base_config();
 	struct config *first;
@@ -460,7 +463,7 @@
 	config_free(config);
 }
 
-TEST(Command, ShiftsAreBoundedInNumber)
+TEST(Command, NumberOfShiftsIsLimited)
 {
 	struct config *config = base_config();
 	struct config_shift shift = config->shifts[0];
@@ -476,7 +479,7 @@
 	config_free(config);
 }
 
-TEST(Command, IdMustSuitTheDocument)
+TEST(Command, IdMustBeValid)
 {
 	struct config *config = base_config();
 	GError *error = nullptr;
@@ -488,7 +491,7 @@
 }
 
 struct load_case {
-	const char *replace; /* in the document above */
+	const char *replace; /* this text of the document above */
 	const char *with;
 	enum result code;
 };
@@ -504,7 +507,7 @@
 {
 };
 
-TEST_P(Load, KeepsTheCommandsOfTheRowAndChecksShifts)
+TEST_P(Load, KeepsCommandHistoryAndChecksShifts)
 {
 	const load_case &c = load_cases[GetParam()];
 	struct config *config = base_config();
--- a/tests/core/results_page_test.cc
+++ b/tests/core/results_page_test.cc
@@ -7,7 +7,7 @@
 
 #define HIGHEST_NUMBER 599
 
-/* A code that the page lacks or tells wrongly misleads whoever looks it up. */
+/* Guards against codes that are missing or wrong in docs/RESULTS.md. */
 TEST(ResultsPage, HasEachCodeWithNameAndStatus)
 {
 	std::ifstream file(SOURCE_DIR "/docs/RESULTS.md");
