--- a/packages/core/query.h
+++ b/packages/core/query.h
@@ -28,7 +28,7 @@
 #define QUERY_SHARE_MAX_PERMILLE 1000
 
 enum query_verb {
-	QUERY_WHERE, /* place chosen for a service's callers at a place */
+	QUERY_WHERE, /* where requests for a service from a place go */
 	QUERY_SHOW_PLACES,
 	QUERY_SHOW_NODES,
 	QUERY_SHOW_BACKENDS,
--- a/packages/core/query_apply.c
+++ b/packages/core/query_apply.c
@@ -382,8 +382,8 @@
 }
 
 /*
- * Keep the seat count of existing shifts, whatever the document says. The
- * quota of a seat is cap / count. If the count changed when nodes are added, a
+ * Keep the seat count of existing shifts, whatever the document says. A
+ * seat's quota is about cap / count. If the count changed when nodes are added, a
  * node still on the old version would admit the old, larger quota beside the
  * new ones: for a cap of 100, 50 + 33 + 33 = 116.
  */
--- a/packages/core/result.h
+++ b/packages/core/result.h
@@ -43,8 +43,7 @@
 	RESULT_IN_PROGRESS = 203,
 	RESULT_TIMED_OUT = 204,
 	RESULT_ATTEMPTS_FAILED = 205,
-	RESULT_ANSWER_DROPPED = 206, /* it ran; its answer is no longer stored
-				      */
+	RESULT_ANSWER_DROPPED = 206, /* it ran; its answer was discarded */
 
 	/* Operators' queries and commands */
 	RESULT_SYNTAX = 301,
--- a/tests/core/admin_test.cc
+++ b/tests/core/admin_test.cc
@@ -31,7 +31,7 @@
 })";
 
 /* Live state at n1 of p1: p2 has never reported, n2 is one version behind. */
-struct known {
+struct live_fixture {
 	struct admin_place_status places[2] = {};
 	struct admin_backend_status backends[1] = {};
 	struct admin_node_status nodes[2] = {};
@@ -39,7 +39,7 @@
 	struct steer_choice choice = {};
 	struct admin_live_state live = {};
 
-	known()
+	live_fixture()
 	{
 		places[0].view = { 0,	 0,    { 3, 2, 1, 9000, 700 },
 				   150,	 9700, false,
@@ -185,10 +185,10 @@
 
 TEST(AdminTable, ShowsKnownValues)
 {
-	struct known known;
+	struct live_fixture fixture;
 
 	for (const table_case &c : known_cases)
-		expect_table(c, &known.live);
+		expect_table(c, &fixture.live);
 }
 
 TEST(AdminTable, ShowsNullForUnknownValues)
@@ -216,13 +216,13 @@
 		    500 },
 		  "refused: overload; come back in 500 us" },
 	};
-	struct known known;
+	struct live_fixture fixture;
 
 	for (const auto &c : cases) {
 		json_t *root;
 
-		known.choice = c.choice;
-		root = ask("where a from p1", &known.live);
+		fixture.choice = c.choice;
+		root = ask("where a from p1", &fixture.live);
 		EXPECT_STREQ(c.message, json_string_value(json_object_get(
 						root, "message")));
 		EXPECT_STREQ(steer_rule_name(c.choice.rule),
