--- a/packages/core/query_apply.c
+++ b/packages/core/query_apply.c
@@ -383,8 +383,8 @@
 
 /*
  * Keep the seat count of existing shifts, whatever the document says. A
- * seat's quota is about cap / count. If the count changed when nodes are added, a
- * node still on the old version would admit the old, larger quota beside the
+ * seat's quota is about cap / count. If the count changed when nodes are added,
+ * a node still on the old version would admit the old, larger quota beside the
  * new ones: for a cap of 100, 50 + 33 + 33 = 116.
  */
 static void keep_seat_counts(const struct change *change)
