--- a/packages/core/admin.c
+++ b/packages/core/admin.c
@@ -33,8 +33,8 @@
 		       bad_request(error, "id: must be 1 to 127 of "
 					  "A-Z a-z 0-9 . _ -");
 	if (!strcmp(member, "expect")) {
-		request->has_expect = true;
-		request->expect = (uint64_t)json_integer_value(value);
+		request->has_expected_version = true;
+		request->expected_version = (uint64_t)json_integer_value(value);
 		return (json_is_integer(value) &&
 			json_integer_value(value) >= 0) ||
 		       bad_request(error, "expect: must be a version");
@@ -125,9 +125,10 @@
 			    admin_json_text(request->sentence));
 	if (*request->id)
 		json_object_set_new(root, "id", admin_json_text(request->id));
-	if (request->has_expect)
-		json_object_set_new(root, "expect",
-				    admin_json_number(request->expect));
+	if (request->has_expected_version)
+		json_object_set_new(
+			root, "expect",
+			admin_json_number(request->expected_version));
 	if (document)
 		json_object_set_new(root, "document", document);
 	return admin_json_to_text(root);
--- a/packages/core/admin.h
+++ b/packages/core/admin.h
@@ -32,8 +32,8 @@
 struct admin_request {
 	char sentence[QUERY_MAX_BYTES + 1];
 	char id[ID_SIZE]; /* of the command; empty for a query */
-	bool has_expect;
-	uint64_t expect; /* required configuration version */
+	bool has_expected_version;
+	uint64_t expected_version; /* required configuration version */
 	char *document; /* JSON text for load, or NULL */
 };
 
--- a/packages/core/admin_show.c
+++ b/packages/core/admin_show.c
@@ -7,7 +7,7 @@
 	uint64_t slots;
 	uint64_t in_flight;
 	uint64_t waiting;
-	uint64_t oldest_us; /* age of the oldest report */
+	uint64_t oldest_report_age_us; /* age of the oldest report */
 	bool known; /* there is a report */
 };
 
@@ -83,7 +83,8 @@
 		sum.slots += report->slots;
 		sum.in_flight += report->in_flight;
 		sum.waiting += report->waiting;
-		sum.oldest_us = MAX(sum.oldest_us, item->view.report_age_us);
+		sum.oldest_report_age_us =
+			MAX(sum.oldest_report_age_us, item->view.report_age_us);
 	}
 	return sum;
 }
@@ -176,7 +177,8 @@
 			admin_json_number_or_null(sum.known, sum.slots),
 			admin_json_number_or_null(sum.known, sum.in_flight),
 			admin_json_number_or_null(sum.known, sum.waiting),
-			admin_json_number_or_null(sum.known, sum.oldest_us),
+			admin_json_number_or_null(sum.known,
+						  sum.oldest_report_age_us),
 		};
 
 		ADMIN_TABLE_ADD(&table, place_columns, values);
@@ -248,13 +250,13 @@
 
 /* Index of the entity that a filter names; CONFIG_NONE if it is empty. */
 static bool find_filter(const struct admin_query_context *context,
-			enum query_entity object, const char *name,
+			enum query_entity entity, const char *name,
 			uint32_t *index, GError **error)
 {
 	*index = CONFIG_NONE;
 	if (!*name)
 		return true;
-	*index = query_find_entity(context->config, object, name, error);
+	*index = query_find_entity(context->config, entity, name, error);
 	return *index != CONFIG_NONE;
 }
 
@@ -300,7 +302,8 @@
 			admin_json_number_or_null(sum.known, sum.slots),
 			admin_json_number_or_null(sum.known, sum.in_flight),
 			admin_json_number_or_null(sum.known, sum.waiting),
-			admin_json_number_or_null(sum.known, sum.oldest_us),
+			admin_json_number_or_null(sum.known,
+						  sum.oldest_report_age_us),
 		};
 
 		ADMIN_TABLE_ADD(&table, service_columns, values);
--- a/packages/core/config_decode.c
+++ b/packages/core/config_decode.c
@@ -328,7 +328,7 @@
 
 /* How to decode a list and its items. */
 struct list_reader {
-	size_t most;
+	size_t max_items;
 	const char *key; /* unique member of the items, or NULL */
 	bool (*read)(const struct reader *, struct config *, uint32_t);
 };
@@ -366,10 +366,10 @@
 
 	if (!json)
 		return true;
-	if (!json_is_array(json) || json_array_size(json) > list->most) {
+	if (!json_is_array(json) || json_array_size(json) > list->max_items) {
 		g_set_error(error, RESULT_ERROR, RESULT_CONFIG_INVALID,
 			    "%s: must be a list of at most %zu items",
-			    field->name, list->most);
+			    field->name, list->max_items);
 		return false;
 	}
 	items = g_malloc0_n(json_array_size(json) + 1, field->item_size);
--- a/packages/core/query.c
+++ b/packages/core/query.c
@@ -42,9 +42,9 @@
 	[QUERY_ENTITY_SERVICE] = "service",
 };
 
-const char *query_entity_type_name(enum query_entity object)
+const char *query_entity_type_name(enum query_entity entity)
 {
-	return entity_type_names[object];
+	return entity_type_names[entity];
 }
 
 /*
@@ -270,14 +270,14 @@
 	return advance(parser);
 }
 
-static bool expect_name(struct parser *parser, enum query_entity object,
+static bool expect_name(struct parser *parser, enum query_entity entity,
 			char *name)
 {
 	char expected[80];
 
 	g_snprintf(expected, sizeof(expected),
 		   "the name of a %s (1 to 63 of A-Z a-z 0-9 . _ -)",
-		   query_entity_type_name(object));
+		   query_entity_type_name(entity));
 	return expect_identifier(parser, expected, name, NAME_SIZE);
 }
 
@@ -454,22 +454,22 @@
 static bool parse_drain(struct parser *parser, struct query *query)
 {
 	static const char *const kinds[] = { "place", "node", "backend", NULL };
-	static const enum query_entity objects[] = { QUERY_ENTITY_PLACE,
-						     QUERY_ENTITY_NODE,
-						     QUERY_ENTITY_BACKEND };
+	static const enum query_entity entities[] = { QUERY_ENTITY_PLACE,
+						      QUERY_ENTITY_NODE,
+						      QUERY_ENTITY_BACKEND };
 	uint32_t index;
 
 	if (!expect_keyword(parser, kinds, false, &index))
 		return false;
-	query->object = objects[index];
-	return expect_name(parser, query->object, query->name) &&
+	query->entity = entities[index];
+	return expect_name(parser, query->entity, query->entity_name) &&
 	       expect_end(parser);
 }
 
 static bool parse_service_command(struct parser *parser, struct query *query)
 {
-	query->object = QUERY_ENTITY_SERVICE;
-	return expect_name(parser, QUERY_ENTITY_SERVICE, query->name) &&
+	query->entity = QUERY_ENTITY_SERVICE;
+	return expect_name(parser, QUERY_ENTITY_SERVICE, query->entity_name) &&
 	       expect_end(parser);
 }
 
--- a/packages/core/query.h
+++ b/packages/core/query.h
@@ -62,8 +62,8 @@
 /* A parsed sentence. Texts that it doesn't give are empty, numbers are 0. */
 struct query {
 	enum query_verb verb;
-	enum query_entity object; /* for drain, undrain, stop and start */
-	char name[NAME_SIZE]; /* of that entity */
+	enum query_entity entity; /* for drain, undrain, stop and start */
+	char entity_name[NAME_SIZE]; /* of that entity */
 	char service[NAME_SIZE]; /* for where and shift; filter for show */
 	char from[NAME_SIZE];
 	char to[NAME_SIZE];
@@ -86,14 +86,14 @@
 bool query_id_is_valid(const char *id);
 
 /* Name of the entity type for messages, for example "place". */
-const char *query_entity_type_name(enum query_entity object);
+const char *query_entity_type_name(enum query_entity entity);
 
 /*
  * Index of the named entity in its list of the configuration, or CONFIG_NONE
  * and an error of RESULT_UNKNOWN_NAME.
  */
 uint32_t query_find_entity(const struct config *config,
-			   enum query_entity object, const char *name,
+			   enum query_entity entity, const char *name,
 			   GError **error);
 
 /*
--- a/packages/core/query_apply.c
+++ b/packages/core/query_apply.c
@@ -29,12 +29,12 @@
 }
 
 uint32_t query_find_entity(const struct config *config,
-			   enum query_entity object, const char *name,
+			   enum query_entity entity, const char *name,
 			   GError **error)
 {
 	uint32_t index = CONFIG_NONE;
 
-	switch (object) {
+	switch (entity) {
 	case QUERY_ENTITY_PLACE:
 		index = config_find_place(config, name);
 		break;
@@ -53,14 +53,14 @@
 	if (index == CONFIG_NONE)
 		g_set_error(error, RESULT_ERROR, RESULT_UNKNOWN_NAME,
 			    "no %s is named '%s'",
-			    query_entity_type_name(object), name);
+			    query_entity_type_name(entity), name);
 	return index;
 }
 
-static bool find_entity(const struct change *change, enum query_entity object,
+static bool find_entity(const struct change *change, enum query_entity entity,
 			const char *name, uint32_t *index)
 {
-	*index = query_find_entity(change->after, object, name, change->error);
+	*index = query_find_entity(change->after, entity, name, change->error);
 	return *index != CONFIG_NONE;
 }
 
@@ -223,10 +223,10 @@
 	return true;
 }
 
-static bool *drained_flag(struct config *config, enum query_entity object,
+static bool *drained_flag(struct config *config, enum query_entity entity,
 			  uint32_t index)
 {
-	switch (object) {
+	switch (entity) {
 	case QUERY_ENTITY_PLACE:
 		return &config->places[index].drained;
 	case QUERY_ENTITY_NODE:
@@ -283,9 +283,9 @@
 	bool drained = query->verb == QUERY_CMD_DRAIN;
 	uint32_t index;
 
-	if (!find_entity(change, query->object, query->name, &index))
+	if (!find_entity(change, query->entity, query->entity_name, &index))
 		return false;
-	*drained_flag(change->after, query->object, index) = drained;
+	*drained_flag(change->after, query->entity, index) = drained;
 	return check_destinations_remain(change) &&
 	       check_services_remain(change);
 }
@@ -295,13 +295,14 @@
 	bool stopped = query->verb == QUERY_CMD_STOP;
 	uint32_t index;
 
-	if (!find_entity(change, QUERY_ENTITY_SERVICE, query->name, &index))
+	if (!find_entity(change, QUERY_ENTITY_SERVICE, query->entity_name,
+			 &index))
 		return false;
 	change->after->services[index].stopped = stopped;
 	if (stopped || has_serving_place(change->after, index))
 		return true;
 	return fail_conflict(change, "service '%s' has no place to serve it",
-			     query->name);
+			     query->entity_name);
 }
 
 static bool apply_command(const struct change *change,
@@ -435,7 +436,7 @@
 
 char *query_describe_effect(const struct query *query, const char *command_id)
 {
-	const char *object = query_entity_type_name(query->object);
+	const char *entity = query_entity_type_name(query->entity);
 
 	switch (query->verb) {
 	case QUERY_CMD_SHIFT:
@@ -443,14 +444,17 @@
 	case QUERY_CMD_CANCEL:
 		return g_strdup_printf("shift %s is cancelled", query->shift);
 	case QUERY_CMD_DRAIN:
-		return g_strdup_printf("%s %s is drained", object, query->name);
+		return g_strdup_printf("%s %s is drained", entity,
+				       query->entity_name);
 	case QUERY_CMD_UNDRAIN:
-		return g_strdup_printf("%s %s is undrained", object,
-				       query->name);
+		return g_strdup_printf("%s %s is undrained", entity,
+				       query->entity_name);
 	case QUERY_CMD_STOP:
-		return g_strdup_printf("service %s is stopped", query->name);
+		return g_strdup_printf("service %s is stopped",
+				       query->entity_name);
 	case QUERY_CMD_START:
-		return g_strdup_printf("service %s is started", query->name);
+		return g_strdup_printf("service %s is started",
+				       query->entity_name);
 	case QUERY_CMD_LOAD:
 		return g_strdup("the configuration is replaced");
 	default:
--- a/packages/ctl/main.c
+++ b/packages/ctl/main.c
@@ -121,9 +121,9 @@
 	g_strlcpy(request->sentence, sentence, sizeof(request->sentence));
 	if (!query_is_command(&query))
 		return true;
-	request->has_expect = options->expect != NO_EXPECT;
-	if (request->has_expect)
-		request->expect = (uint64_t)options->expect;
+	request->has_expected_version = options->expect != NO_EXPECT;
+	if (request->has_expected_version)
+		request->expected_version = (uint64_t)options->expect;
 	if (query.verb == QUERY_CMD_LOAD) {
 		request->document = script_read_document(query.file, error);
 		if (!request->document)
--- a/packages/node/command.c
+++ b/packages/node/command.c
@@ -65,12 +65,13 @@
 static bool check_expect(const struct admin_request *request, uint64_t version,
 			 GError **error)
 {
-	if (!request->has_expect || request->expect == version)
+	if (!request->has_expected_version ||
+	    request->expected_version == version)
 		return true;
 	g_set_error(error, RESULT_ERROR, RESULT_CONFLICT,
 		    "expected version %" G_GUINT64_FORMAT
 		    ", it is %" G_GUINT64_FORMAT,
-		    request->expect, version);
+		    request->expected_version, version);
 	return false;
 }
 
--- a/tests/core/query_test.cc
+++ b/tests/core/query_test.cc
@@ -74,7 +74,7 @@
 	static const char *const objects[] = { "", " place", " node",
 					       " backend", " service" };
 	const std::pair<const char *, std::string> members[] = {
-		{ "name", query.name },
+		{ "name", query.entity_name },
 		{ "service", query.service },
 		{ "from", query.from },
 		{ "to", query.to },
@@ -92,7 +92,7 @@
 	};
 	std::string text = verbs[query.verb];
 
-	text += objects[query.object];
+	text += objects[query.entity];
 	for (const auto &[member, value] : members)
 		if (!value.empty())
 			text += std::string(" ") + member + "=" + value;
