--- a/packages/core/admin_show.c
+++ b/packages/core/admin_show.c
@@ -7,7 +7,7 @@
 	uint64_t slots;
 	uint64_t in_flight;
 	uint64_t waiting;
-	uint64_t oldest_report_age_us; /* age of the oldest report */
+	uint64_t oldest_report_age_us;
 	bool known; /* there is a report */
 };
 
