--- a/tests/core/admin_test.cc
+++ b/tests/core/admin_test.cc
@@ -30,16 +30,16 @@
 		 "share_permille": 600, "cap_per_s": 40}]
 })";
 
-/* What n1 of p1 knows: p2 never reported, and n2 is a version behind. */
-struct known {
-	struct admin_place places[2] = {};
-	struct admin_backend backends[1] = {};
-	struct admin_node nodes[2] = {};
+/* Live state at n1 of p1: p2 has never reported, n2 is one version behind. */
+struct live_fixture {
+	struct admin_place_status places[2] = {};
+	struct admin_backend_status backends[1] = {};
+	struct admin_node_status nodes[2] = {};
 	uint32_t shares[1] = { 250 };
 	struct steer_choice choice = {};
-	struct admin_live live = {};
+	struct admin_live_state live = {};
 
-	known()
+	live_fixture()
 	{
 		places[0].view = { 0,	 0,    { 3, 2, 1, 9000, 700 },
 				   150,	 9700, false,
@@ -63,7 +63,7 @@
 	}
 };
 
-static json_t *ask(const char *sentence, const struct admin_live *live)
+static json_t *ask(const char *sentence, const struct admin_live_state *live)
 {
 	struct config *config =
 		config_decode(document, strlen(document), nullptr);
@@ -131,7 +131,7 @@
 	  R"(true,null,0,[]]])" },
 };
 
-/* The same document at a node that has just started and knows nothing yet. */
+/* The same document at a node that has just started, without live state. */
 static const table_case unknown_cases[] = {
 	{ "show nodes", "2 nodes",
 	  R"([["n1","p1","127.0.0.1",1,2,false,null,null,null],)"
@@ -141,7 +141,7 @@
 	  R"([["n1","p1",null,null,null],["n2","p2",null,null,null]])" },
 };
 
-/* The rows as lists, having checked that each has the answer's columns. */
+/* The rows as lists in column order; checks that each row has all columns. */
 static std::string row_values(const json_t *root)
 {
 	const json_t *columns = json_object_get(root, "columns");
@@ -169,7 +169,8 @@
 	return text;
 }
 
-static void expect_table(const table_case &c, const struct admin_live *live)
+static void expect_table(const table_case &c,
+			 const struct admin_live_state *live)
 {
 	json_t *root = ask(c.sentence, live);
 
@@ -182,23 +183,23 @@
 	json_decref(root);
 }
 
-TEST(AdminTable, ShowsWhatIsKnown)
+TEST(AdminTable, ShowsKnownValues)
 {
-	struct known known;
+	struct live_fixture fixture;
 
 	for (const table_case &c : known_cases)
-		expect_table(c, &known.live);
+		expect_table(c, &fixture.live);
 }
 
-TEST(AdminTable, ShowsNullForWhatIsNot)
+TEST(AdminTable, ShowsNullForUnknownValues)
 {
-	const struct admin_live nothing = {};
+	const struct admin_live_state nothing = {};
 
 	for (const table_case &c : unknown_cases)
 		expect_table(c, &nothing);
 }
 
-TEST(AdminWhere, SaysWhichRuleDecided)
+TEST(AdminWhere, NamesTheRuleBehindTheChoice)
 {
 	static const struct {
 		struct steer_choice choice;
@@ -215,13 +216,13 @@
 		    500 },
 		  "refused: overload; come back in 500 us" },
 	};
-	struct known known;
+	struct live_fixture fixture;
 
 	for (const auto &c : cases) {
 		json_t *root;
 
-		known.choice = c.choice;
-		root = ask("where a from p1", &known.live);
+		fixture.choice = c.choice;
+		root = ask("where a from p1", &fixture.live);
 		EXPECT_STREQ(c.message, json_string_value(json_object_get(
 						root, "message")));
 		EXPECT_STREQ(steer_rule_name(c.choice.rule),
@@ -230,7 +231,7 @@
 	}
 }
 
-TEST(AdminTable, NamesWhatIsUnknown)
+TEST(AdminTable, ErrorsNameTheUnknownEntity)
 {
 	static const struct {
 		const char *sentence;
@@ -246,10 +247,10 @@
 		  R"({"result":303,"name":"unknown-name","message":"no )"
 		  R"(place is named 'x'"})" },
 		{ "where a from p1",
-		  R"({"result":501,"name":"internal","message":"no choice )"
-		  R"(was made for the question"})" },
+		  R"({"result":501,"name":"internal","message":"the query )"
+		  R"(has no routing choice"})" },
 	};
-	const struct admin_live nothing = {};
+	const struct admin_live_state nothing = {};
 
 	for (const auto &c : cases) {
 		json_t *root = ask(c.sentence, &nothing);
@@ -259,7 +260,7 @@
 	}
 }
 
-TEST(AdminAnswer, HasTheMembersOfItsKind)
+TEST(AdminAnswer, HasTheExpectedMembers)
 {
 	static const struct {
 		char *text;
@@ -282,18 +283,18 @@
 	}
 }
 
-TEST(AdminRequest, IsReadWholeOrRefused)
+TEST(AdminRequest, IsParsedOrRejected)
 {
 	static const struct {
 		std::string body;
-		const char *message; /* empty: it is good */
+		const char *message; /* empty: the body is valid */
 	} cases[] = {
 		{ R"({"sentence":"show places"})", "" },
 		{ R"({"sentence":"load f","id":"c-1","expect":7,)"
 		  R"("document":{"places":[]}})",
 		  "" },
 		{ "[]", "the body must be an object" },
-		{ R"({"id":"c-1"})", "sentence: must be there" },
+		{ R"({"id":"c-1"})", "sentence: is required" },
 		{ R"({"sentence":7})",
 		  "sentence: must be a text of at most 1024 bytes" },
 		{ "{\"sentence\":\"" + std::string(1025, 'x') + "\"}",
@@ -333,7 +334,7 @@
 	}
 }
 
-TEST(AdminRequest, WhatIsNoJsonIsNamedByLine)
+TEST(AdminRequest, InvalidJsonIsReportedWithItsLine)
 {
 	struct admin_request request = {};
 	char document[] = "{\n\"";
