--- a/packages/core/gate.c
+++ b/packages/core/gate.c
@@ -15,40 +15,40 @@
  * grow to the burst bound; one that has stood for longer is overload, and then
  * waiting gains nothing but late answers, so that the tight bound holds.
  */
-#define WAIT_BURST 2.5
-#define WAIT_TIGHT 1.75
-#define WAIT_NON_IDEMPOTENT 8.0
+#define MAX_WAIT_BURST 2.5
+#define MAX_WAIT_STANDING 1.75
+#define MAX_WAIT_NON_IDEMPOTENT 8.0
 /* Even the tight bound lets this many wait, or few slots would run idle. */
-#define WAIT_MIN_REQUESTS 4
+#define MIN_QUEUE_REQUESTS 4
 #define STANDING_MIN_US (100 * 1000ull)
 #define STANDING_SERVICE_TIMES 5
 
 /* A server this much slower than others is used only if the others queue up. */
 #define SLOW_FACTOR 1.5
 /* Part of the bound on waiting that others may queue up to before that. */
-#define WORTH_WAITING 0.65
+#define FAST_BACKEND_WAIT_FACTOR 0.65
 
 /* Without an answer for so long, estimates refuse nobody. */
-#define ESTIMATE_TRUST_US (1 * 1000 * 1000ull)
+#define ESTIMATE_MAX_AGE_US (1 * 1000 * 1000ull)
 
 /* On the score of an unproven server for what can't be sent again. */
-#define UNPROVEN_PENALTY 1000.0
+#define TRIAL_PENALTY 1000.0
 
 /* What a wait counts at most in the time to come back. */
-#define NO_SLOT_WAIT_US (1 * 1000 * 1000ull)
+#define RETRY_AFTER_MAX_WAIT_US (1 * 1000 * 1000ull)
 #define RETRY_AFTER_MIN_US (100 * 1000ull)
 #define RETRY_AFTER_MAX_US (30 * 1000 * 1000ull)
 #define RETRY_AFTER_GROWTH 15.0
-#define REFUSED_GAIN (1.0 / 32)
+#define REFUSAL_RATE_GAIN (1.0 / 32)
 
 struct gate {
 	GPtrArray *backends; /* by handle; a freed one leaves NULL */
 	struct gate_queue queue;
 	struct gate_estimate service;
-	uint64_t seen_us; /* the latest time passed in */
+	uint64_t last_now_us; /* the latest time passed in */
 	uint64_t queue_empty_us; /* last time that nobody urgent waited */
-	double refused_rate;
-	uint32_t refusals; /* spreads the times to come back */
+	double refusal_rate;
+	uint32_t refusal_count; /* spreads the times to come back */
 };
 
 static struct gate_backend *backend_at(const struct gate *gate, uint32_t handle)
@@ -89,7 +89,7 @@
 	return backend;
 }
 
-static void drop_unused(struct gate *gate)
+static void free_unused_backends(struct gate *gate)
 {
 	struct gate_backend *backend;
 	uint32_t i;
@@ -123,7 +123,7 @@
 }
 
 /* Requests that end in a microsecond when all usable slots are busy. */
-static double drain_rate(const struct gate *gate, uint64_t now_us)
+static double completion_rate(const struct gate *gate, uint64_t now_us)
 {
 	uint64_t mean_us = service_us(gate);
 	const struct gate_backend *backend;
@@ -143,29 +143,28 @@
 }
 
 /* Earliest end of a backend server's pause; UINT64_MAX if none pauses. */
-static uint64_t first_return_us(const struct gate *gate, uint64_t now_us)
+static uint64_t first_resume_us(const struct gate *gate, uint64_t now_us)
 {
 	uint64_t first_us = UINT64_MAX;
-	uint64_t returns_us;
+	uint64_t resume_us;
 	uint32_t i;
 
 	for (i = 0; i < gate->backends->len; i++) {
 		if (!backend_at(gate, i))
 			continue;
-		returns_us =
-			gate_backend_returns_us(backend_at(gate, i), now_us);
-		first_us = MIN(first_us, returns_us);
+		resume_us = gate_backend_resume_us(backend_at(gate, i), now_us);
+		first_us = MIN(first_us, resume_us);
 	}
 	return first_us;
 }
 
-static bool any_serves(const struct gate *gate)
+static bool any_eligible(const struct gate *gate)
 {
 	uint32_t i;
 
 	for (i = 0; i < gate->backends->len; i++)
 		if (backend_at(gate, i) &&
-		    gate_backend_serves(backend_at(gate, i)))
+		    gate_backend_is_eligible(backend_at(gate, i)))
 			return true;
 	return false;
 }
@@ -194,36 +193,35 @@
 static uint64_t expected_wait_us(const struct gate *gate,
 				 enum service_class class_of, uint64_t now_us)
 {
-	double rate = drain_rate(gate, now_us);
-	uint64_t returns_us;
+	double rate = completion_rate(gate, now_us);
+	uint64_t resume_us;
 
 	if (rate > 0.0)
 		return (uint64_t)((waiting_ahead(gate, class_of) + 1) / rate);
-	returns_us = first_return_us(gate, now_us);
-	return returns_us == UINT64_MAX ? UINT64_MAX / 4 :
-					  (returns_us - now_us);
+	resume_us = first_resume_us(gate, now_us);
+	return resume_us == UINT64_MAX ? UINT64_MAX / 4 : (resume_us - now_us);
 }
 
 /* The longest wait that is worth it for this class, its deadline aside. */
-static uint64_t wait_bound_us(const struct gate *gate,
-			      enum service_class class_of, uint64_t now_us)
+static uint64_t max_wait_us(const struct gate *gate,
+			    enum service_class class_of, uint64_t now_us)
 {
 	uint64_t mean_us = service_us(gate);
 	uint64_t standing_us =
 		MAX(STANDING_MIN_US, mean_us * STANDING_SERVICE_TIMES);
-	double rate = drain_rate(gate, now_us);
+	double rate = completion_rate(gate, now_us);
 	double bound_us;
 
 	if (class_of == SERVICE_BACKGROUND)
 		return UINT64_MAX / 4;
 	if (class_of == SERVICE_NON_IDEMPOTENT)
-		bound_us = WAIT_NON_IDEMPOTENT * (double)mean_us;
+		bound_us = MAX_WAIT_NON_IDEMPOTENT * (double)mean_us;
 	else if (now_us < gate->queue_empty_us + standing_us)
-		bound_us = WAIT_BURST * (double)mean_us;
+		bound_us = MAX_WAIT_BURST * (double)mean_us;
 	else
-		bound_us = WAIT_TIGHT * (double)mean_us;
+		bound_us = MAX_WAIT_STANDING * (double)mean_us;
 	if (rate > 0.0)
-		bound_us = MAX(bound_us, WAIT_MIN_REQUESTS / rate);
+		bound_us = MAX(bound_us, MIN_QUEUE_REQUESTS / rate);
 	return (uint64_t)bound_us;
 }
 
@@ -250,10 +248,10 @@
  * being too short, nothing would be learned any more and the refusals would
  * never end; so estimates without a recent answer refuse nobody.
  */
-static bool estimates_count(const struct gate *gate, uint64_t now_us)
+static bool estimate_is_recent(const struct gate *gate, uint64_t now_us)
 {
 	return gate->service.weight > 0.0 &&
-	       now_us < gate->service.learned_at_us + ESTIMATE_TRUST_US;
+	       now_us < gate->service.updated_at_us + ESTIMATE_MAX_AGE_US;
 }
 
 /*
@@ -290,25 +288,26 @@
 		return false;
 	wait_us = (urgent_waiting(gate) + 1) / fast_rate;
 	return wait_us + fast_slots / fast_rate < slow_us &&
-	       wait_us < WORTH_WAITING *
-				 (double)wait_bound_us(
-					 gate, SERVICE_INTERACTIVE, now_us);
+	       wait_us < FAST_BACKEND_WAIT_FACTOR *
+				 (double)max_wait_us(gate, SERVICE_INTERACTIVE,
+						     now_us);
 }
 
 /* Whether a request started there now would probably miss its deadline. */
-static bool too_slow(const struct gate *gate,
-		     const struct gate_backend *backend, uint64_t deadline_us,
-		     uint64_t now_us)
+static bool would_miss_deadline(const struct gate *gate,
+				const struct gate_backend *backend,
+				uint64_t deadline_us, uint64_t now_us)
 {
-	return estimates_count(gate, now_us) &&
+	return estimate_is_recent(gate, now_us) &&
 	       now_us + gate_backend_latency_us(backend, service_us(gate),
 						now_us) >
 		       deadline_us;
 }
 
 /* Handle of the best backend server with a free slot; false if none has. */
-static bool find_free(const struct gate *gate, enum service_class class_of,
-		      uint64_t deadline_us, uint64_t now_us, uint32_t *handle)
+static bool find_free_backend(const struct gate *gate,
+			      enum service_class class_of, uint64_t deadline_us,
+			      uint64_t now_us, uint32_t *handle)
 {
 	uint64_t mean_us = service_us(gate);
 	const struct gate_backend *backend;
@@ -321,7 +320,7 @@
 		backend = backend_at(gate, i);
 		if (!backend ||
 		    backend->in_flight >= gate_backend_limit(backend, now_us) ||
-		    too_slow(gate, backend, deadline_us, now_us))
+		    would_miss_deadline(gate, backend, deadline_us, now_us))
 			continue;
 		score = gate_backend_score(backend, mean_us, now_us);
 		/*
@@ -330,7 +329,7 @@
 		 */
 		if (class_of == SERVICE_NON_IDEMPOTENT &&
 		    backend->state != GATE_BACKEND_UP)
-			score *= UNPROVEN_PENALTY;
+			score *= TRIAL_PENALTY;
 		if (score >= best_score)
 			continue;
 		found = true;
@@ -345,17 +344,17 @@
 			   uint64_t deadline_us, uint64_t now_us,
 			   uint32_t *handle)
 {
-	if (!find_free(gate, class_of, deadline_us, now_us, handle))
+	if (!find_free_backend(gate, class_of, deadline_us, now_us, handle))
 		return false;
 	return class_of == SERVICE_BACKGROUND ||
 	       !better_to_wait(gate, backend_at(gate, *handle), now_us);
 }
 
-static void start_on(struct gate *gate, uint32_t handle,
-		     struct gate_decision *decision)
+static void start_request(struct gate *gate, uint32_t handle,
+			  struct gate_decision *decision)
 {
 	gate_backend_start(backend_at(gate, handle));
-	gate->refused_rate -= REFUSED_GAIN * gate->refused_rate;
+	gate->refusal_rate -= REFUSAL_RATE_GAIN * gate->refusal_rate;
 	decision->verdict = GATE_RUN;
 	decision->backend = handle;
 }
@@ -368,12 +367,12 @@
 static uint64_t retry_after_us(struct gate *gate, uint64_t now_us)
 {
 	uint64_t wait_us = expected_wait_us(gate, SERVICE_INTERACTIVE, now_us);
-	double base_us =
-		(double)(service_us(gate) + MIN(wait_us, NO_SLOT_WAIT_US));
-	double spread = (gate->refusals++ * 2654435769u) / 4294967296.0;
+	double base_us = (double)(service_us(gate) +
+				  MIN(wait_us, RETRY_AFTER_MAX_WAIT_US));
+	double spread = (gate->refusal_count++ * 2654435769u) / 4294967296.0;
 
 	base_us *= 1.0 +
-		   RETRY_AFTER_GROWTH * gate->refused_rate * gate->refused_rate;
+		   RETRY_AFTER_GROWTH * gate->refusal_rate * gate->refusal_rate;
 	base_us = CLAMP(base_us, (double)RETRY_AFTER_MIN_US,
 			(double)RETRY_AFTER_MAX_US);
 	return (uint64_t)(base_us * (0.5 + spread));
@@ -382,7 +381,7 @@
 static void refuse(struct gate *gate, enum result refusal, uint64_t now_us,
 		   struct gate_decision *decision)
 {
-	gate->refused_rate += REFUSED_GAIN * (1.0 - gate->refused_rate);
+	gate->refusal_rate += REFUSAL_RATE_GAIN * (1.0 - gate->refusal_rate);
 	decision->verdict = GATE_REFUSE;
 	decision->refusal = refusal;
 	decision->retry_after_us = retry_after_us(gate, now_us);
@@ -397,7 +396,7 @@
 static bool deadline_too_short(const struct gate *gate, uint64_t deadline_us,
 			       uint64_t now_us)
 {
-	return estimates_count(gate, now_us) &&
+	return estimate_is_recent(gate, now_us) &&
 	       now_us + best_latency_us(gate, now_us) > deadline_us;
 }
 
@@ -412,9 +411,9 @@
 	uint32_t handle;
 
 	if (now_us < waiter->deadline_us &&
-	    find_free(gate, waiter->class_of, waiter->deadline_us, now_us,
-		      &handle))
-		start_on(gate, handle, decision);
+	    find_free_backend(gate, waiter->class_of, waiter->deadline_us,
+			      now_us, &handle))
+		start_request(gate, handle, decision);
 	else
 		refuse(gate, RESULT_OVERLOAD, now_us, decision);
 }
@@ -425,13 +424,13 @@
 			   struct gate_decision *decision)
 {
 	uint64_t wait_us = expected_wait_us(gate, request->class_of, now_us);
-	uint64_t bound_us = wait_bound_us(gate, request->class_of, now_us);
+	uint64_t bound_us = max_wait_us(gate, request->class_of, now_us);
 	uint64_t answer_us = best_latency_us(gate, now_us);
 	struct gate_waiter waiter = {
 		.waiter = request->waiter,
 		.class_of = request->class_of,
 		.deadline_us = request->deadline_us,
-		.since_us = now_us,
+		.enqueued_us = now_us,
 	};
 
 	if (gate_queue_length(&gate->queue) >= GATE_MAX_WAITING ||
@@ -449,13 +448,13 @@
 }
 
 /* A waiter that no backend server will come back for in time. */
-static bool pop_hopeless(struct gate *gate, uint64_t now_us,
-			 struct gate_waiter *waiter)
+static bool pop_unservable(struct gate *gate, uint64_t now_us,
+			   struct gate_waiter *waiter)
 {
 	if (!gate_queue_length(&gate->queue) || usable_slots(gate, now_us))
 		return false;
 	return gate_queue_pop_expired(&gate->queue,
-				      first_return_us(gate, now_us), waiter);
+				      first_resume_us(gate, now_us), waiter);
 }
 
 /*
@@ -465,8 +464,8 @@
  * at least half of all slots and hold what is in flight; silence always does,
  * because a silent server answers nobody anyway.
  */
-static bool may_take_down(const struct gate *gate,
-			  const struct gate_backend *suspect, uint64_t now_us)
+static bool may_mark_down(const struct gate *gate,
+			  const struct gate_backend *candidate, uint64_t now_us)
 {
 	const struct gate_backend *backend;
 	uint32_t left = 0;
@@ -474,15 +473,15 @@
 	uint32_t in_flight = 0;
 	uint32_t i;
 
-	if (gate_backend_is_silent(suspect) ||
-	    suspect->state == GATE_BACKEND_TRIAL)
+	if (gate_backend_is_unreachable(candidate) ||
+	    candidate->state == GATE_BACKEND_TRIAL)
 		return true;
 	for (i = 0; i < gate->backends->len; i++) {
 		backend = backend_at(gate, i);
-		if (!backend || !gate_backend_serves(backend))
+		if (!backend || !gate_backend_is_eligible(backend))
 			continue;
 		all += backend->slots;
-		if (backend == suspect)
+		if (backend == candidate)
 			continue;
 		left += gate_backend_limit(backend, now_us);
 		in_flight += backend->in_flight;
@@ -521,7 +520,7 @@
 	struct gate_backend *backend;
 	uint32_t i;
 
-	gate->seen_us = now_us;
+	gate->last_now_us = now_us;
 	for (i = 0; i < gate->backends->len; i++)
 		if (backend_at(gate, i))
 			backend_at(gate, i)->present = false;
@@ -531,7 +530,7 @@
 			backend = add_backend(gate, specs[i].name);
 		gate_backend_configure(backend, &specs[i]);
 	}
-	drop_unused(gate);
+	free_unused_backends(gate);
 }
 
 void gate_offer(struct gate *gate, const struct gate_request *request,
@@ -540,18 +539,18 @@
 	uint32_t handle;
 
 	memset(decision, 0, sizeof(*decision));
-	gate->seen_us = now_us;
+	gate->last_now_us = now_us;
 	note_empty_queue(gate, now_us);
 	if (request->deadline_us <= now_us)
 		refuse(gate, RESULT_DEADLINE_EXPIRED, now_us, decision);
-	else if (!any_serves(gate))
+	else if (!any_eligible(gate))
 		refuse(gate, RESULT_NO_PLACE, now_us, decision);
 	else if (deadline_too_short(gate, request->deadline_us, now_us))
 		refuse(gate, RESULT_DEADLINE_TOO_SHORT, now_us, decision);
 	else if (!gate_queue_length(&gate->queue) &&
 		 choose_backend(gate, request->class_of, request->deadline_us,
 				now_us, &handle))
-		start_on(gate, handle, decision);
+		start_request(gate, handle, decision);
 	else
 		wait_or_refuse(gate, request, now_us, decision);
 }
@@ -562,13 +561,13 @@
 	struct gate_backend *backend = backend_at(gate, handle);
 
 	g_return_if_fail(backend && backend->in_flight);
-	gate->seen_us = now_us;
-	if (gate_backend_learn(backend, outcome, served_us, now_us) &&
-	    may_take_down(gate, backend, now_us))
-		gate_backend_take_down(backend, now_us);
+	gate->last_now_us = now_us;
+	if (gate_backend_record_outcome(backend, outcome, served_us, now_us) &&
+	    may_mark_down(gate, backend, now_us))
+		gate_backend_mark_down(backend, now_us);
 	if (outcome == GATE_ANSWERED)
 		gate_estimate_add(&gate->service, served_us, now_us);
-	drop_unused(gate);
+	free_unused_backends(gate);
 }
 
 bool gate_next(struct gate *gate, uint64_t now_us, struct gate_grant *grant)
@@ -578,9 +577,9 @@
 	uint32_t handle;
 
 	memset(grant, 0, sizeof(*grant));
-	gate->seen_us = now_us;
+	gate->last_now_us = now_us;
 	if (gate_queue_pop_expired(&gate->queue, now_us, &waiter) ||
-	    pop_hopeless(gate, now_us, &waiter)) {
+	    pop_unservable(gate, now_us, &waiter)) {
 		grant->waiter = waiter.waiter;
 		end_wait(gate, &waiter, now_us, &grant->decision);
 		return true;
@@ -592,7 +591,7 @@
 	gate_queue_pop(&gate->queue, &waiter);
 	note_empty_queue(gate, now_us);
 	grant->waiter = waiter.waiter;
-	start_on(gate, handle, &grant->decision);
+	start_request(gate, handle, &grant->decision);
 	return true;
 }
 
@@ -607,28 +606,29 @@
 
 	if (due_us == UINT64_MAX)
 		return UINT64_MAX;
-	return MIN(due_us + 1, first_return_us(gate, gate->seen_us));
+	return MIN(due_us + 1, first_resume_us(gate, gate->last_now_us));
 }
 
-void gate_report(struct gate *gate, const char *backend_name,
-		 uint32_t in_flight, bool leaving, uint64_t now_us)
+void gate_record_report(struct gate *gate, const char *backend_name,
+			uint32_t in_flight, bool leaving, uint64_t now_us)
 {
 	struct gate_backend *backend = find_backend(gate, backend_name);
 
 	if (backend)
-		gate_backend_report(backend, in_flight, leaving, now_us);
+		gate_backend_record_report(backend, in_flight, leaving, now_us);
 }
 
-void gate_probe(struct gate *gate, const char *backend_name, bool alive,
-		uint64_t now_us)
+void gate_record_probe(struct gate *gate, const char *backend_name, bool alive,
+		       uint64_t now_us)
 {
 	struct gate_backend *backend = find_backend(gate, backend_name);
 
 	if (backend)
-		gate_backend_probe(backend, alive, now_us);
+		gate_backend_record_probe(backend, alive, now_us);
 }
 
-bool gate_says_leaving(const struct gate *gate, const char *backend_name)
+bool gate_has_reported_leaving(const struct gate *gate,
+			       const char *backend_name)
 {
 	const struct gate_backend *backend = find_backend(gate, backend_name);
 
--- a/packages/core/gate.h
+++ b/packages/core/gate.h
@@ -127,15 +127,16 @@
 uint64_t gate_next_due_us(const struct gate *gate);
 
 /* What a backend server says of itself; it may lag, lie or be absent. */
-void gate_report(struct gate *gate, const char *backend_name,
-		 uint32_t in_flight, bool leaving, uint64_t now_us);
+void gate_record_report(struct gate *gate, const char *backend_name,
+			uint32_t in_flight, bool leaving, uint64_t now_us);
 
 /* A health probe of the backend server failed or succeeded. */
-void gate_probe(struct gate *gate, const char *backend_name, bool alive,
-		uint64_t now_us);
+void gate_record_probe(struct gate *gate, const char *backend_name, bool alive,
+		       uint64_t now_us);
 
 /* Whether the backend server's own last report says that it leaves. */
-bool gate_says_leaving(const struct gate *gate, const char *backend_name);
+bool gate_has_reported_leaving(const struct gate *gate,
+			       const char *backend_name);
 
 const char *gate_backend_name(const struct gate *gate, uint32_t backend);
 
--- a/packages/core/gate_backend.c
+++ b/packages/core/gate_backend.c
@@ -3,27 +3,27 @@
 #include <glib.h>
 
 /* A sample's weight is halved after this time, and then falls faster. */
-#define ESTIMATE_FADE_US (10 * 1000 * 1000.0)
+#define ESTIMATE_DECAY_US (10 * 1000 * 1000.0)
 #define ESTIMATE_MAX_WEIGHT 16.0
 /* The prior counts as many samples as this. */
 #define ESTIMATE_PRIOR_WEIGHT 2.0
 
-#define REPORT_FADE_US (1 * 1000 * 1000.0)
+#define REPORT_DECAY_US (1 * 1000 * 1000.0)
 #define REPORT_MAX_AGE_US (10 * 1000 * 1000ull)
 
 /* Two failed connects or three failed requests in a row take it down. */
 #define POINTS_CONNECT_FAILED 3
 #define POINTS_REQUEST_FAILED 2
-#define POINTS_DOWN 6
-#define PROBES_DOWN 2
+#define FAILURE_POINTS_LIMIT 6
+#define FAILED_PROBES_LIMIT 2
 /* An answer this recent outweighs failed probes. */
-#define ANSWER_TRUST_US (2 * 1000 * 1000ull)
+#define ANSWER_RECENT_US (2 * 1000 * 1000ull)
 
 #define DOWN_FIRST_US (500 * 1000ull)
 #define DOWN_MAX_US (8 * 1000 * 1000ull)
 #define SHED_FIRST_US (20 * 1000ull)
 #define SHED_MAX_DOUBLINGS 6
-#define SHED_SHRINK 0.7
+#define SHED_SLOTS_FACTOR 0.7
 
 /* Slots that an answer adds while ramping up. */
 #define RAMP_PER_ANSWER 0.5
@@ -35,8 +35,8 @@
 static double estimate_weight(const struct gate_estimate *estimate,
 			      uint64_t now_us)
 {
-	double age_us = (double)gate_age_us(estimate->learned_at_us, now_us);
-	double fade = 1.0 + age_us / ESTIMATE_FADE_US;
+	double age_us = (double)gate_age_us(estimate->updated_at_us, now_us);
+	double fade = 1.0 + age_us / ESTIMATE_DECAY_US;
 
 	return estimate->weight / (fade * fade);
 }
@@ -59,10 +59,11 @@
 	 * would draw requests to a server that only looks idle; our own count
 	 * stands, and the report then adds nothing.
 	 */
-	if (backend->reported_in_flight <= backend->own_at_report)
+	if (backend->reported_in_flight <= backend->own_in_flight_at_report)
 		return 0.0;
-	return (backend->reported_in_flight - backend->own_at_report) /
-	       (1.0 + (double)age_us / REPORT_FADE_US);
+	return (backend->reported_in_flight -
+		backend->own_in_flight_at_report) /
+	       (1.0 + (double)age_us / REPORT_DECAY_US);
 }
 
 static double relative_load(const struct gate_backend *backend, uint64_t now_us)
@@ -82,32 +83,32 @@
  */
 static uint32_t trial_limit(const struct gate_backend *backend)
 {
-	if (backend->on_trial)
+	if (backend->trial_in_flight)
 		return 0;
 	return MIN(backend->in_flight + 1, backend->slots);
 }
 
-static void grow(struct gate_backend *backend)
+static void ramp_up(struct gate_backend *backend)
 {
 	backend->ramp_slots += RAMP_PER_ANSWER;
 	if (backend->ramp_slots > backend->slots)
 		backend->ramp_slots = backend->slots;
 }
 
-static void learn_answer(struct gate_backend *backend, uint64_t service_us,
-			 uint64_t now_us)
+static void record_answer(struct gate_backend *backend, uint64_t service_us,
+			  uint64_t now_us)
 {
 	gate_estimate_add(&backend->latency, service_us, now_us);
 	backend->failure_rate -= FAILURE_GAIN * backend->failure_rate;
 	backend->failure_points = 0;
 	backend->failed_probes = 0;
-	backend->sheds = 0;
+	backend->consecutive_sheds = 0;
 	backend->answered_at_us = now_us;
 	backend->state = GATE_BACKEND_UP;
-	backend->down_by_silence = false;
-	grow(backend);
+	backend->unreachable = false;
+	ramp_up(backend);
 	if (!is_ramping(backend))
-		backend->down_for_us = 0;
+		backend->down_duration_us = 0;
 }
 
 /*
@@ -115,28 +116,28 @@
  * or an ailment take it up. Pausing and holding fewer there stops refusals from
  * using up retries, and each answer gives half a slot back.
  */
-static void learn_shed(struct gate_backend *backend, uint64_t now_us)
+static void record_shed(struct gate_backend *backend, uint64_t now_us)
 {
 	double held = MIN(backend->ramp_slots, backend->in_flight + 1.0);
 
-	backend->ramp_slots = MAX(1.0, held * SHED_SHRINK);
+	backend->ramp_slots = MAX(1.0, held * SHED_SLOTS_FACTOR);
 	backend->shed_until_us =
-		now_us +
-		(SHED_FIRST_US << MIN(backend->sheds, SHED_MAX_DOUBLINGS));
-	backend->sheds++;
+		now_us + (SHED_FIRST_US << MIN(backend->consecutive_sheds,
+					       SHED_MAX_DOUBLINGS));
+	backend->consecutive_sheds++;
 }
 
-static bool learn_failure(struct gate_backend *backend, uint32_t points)
+static bool record_failure(struct gate_backend *backend, uint32_t points)
 {
 	backend->failure_points += points;
 	return backend->state == GATE_BACKEND_TRIAL ||
-	       backend->failure_points >= POINTS_DOWN;
+	       backend->failure_points >= FAILURE_POINTS_LIMIT;
 }
 
-static void learn_bad_answer(struct gate_backend *backend)
+static void record_request_failure(struct gate_backend *backend)
 {
 	backend->failure_rate += FAILURE_GAIN * (1.0 - backend->failure_rate);
-	backend->down_by_silence = false;
+	backend->unreachable = false;
 }
 
 void gate_estimate_add(struct gate_estimate *estimate, uint64_t sample_us,
@@ -147,7 +148,7 @@
 	estimate->mean_us = (estimate->mean_us * weight + (double)sample_us) /
 			    (weight + 1.0);
 	estimate->weight = MIN(weight + 1.0, ESTIMATE_MAX_WEIGHT);
-	estimate->learned_at_us = now_us;
+	estimate->updated_at_us = now_us;
 }
 
 uint64_t gate_estimate_us(const struct gate_estimate *estimate,
@@ -178,7 +179,7 @@
 		backend->ramp_slots = backend->slots;
 }
 
-bool gate_backend_serves(const struct gate_backend *backend)
+bool gate_backend_is_eligible(const struct gate_backend *backend)
 {
 	return backend->present && !backend->leaving &&
 	       !backend->reported_leaving && backend->slots > 0;
@@ -186,7 +187,8 @@
 
 uint32_t gate_backend_limit(const struct gate_backend *backend, uint64_t now_us)
 {
-	if (!gate_backend_serves(backend) || now_us < backend->shed_until_us)
+	if (!gate_backend_is_eligible(backend) ||
+	    now_us < backend->shed_until_us)
 		return 0;
 	if (backend->state == GATE_BACKEND_DOWN &&
 	    now_us < backend->down_until_us)
@@ -202,15 +204,15 @@
 	if (backend->state == GATE_BACKEND_UP)
 		return;
 	backend->state = GATE_BACKEND_TRIAL;
-	backend->on_trial = true;
+	backend->trial_in_flight = true;
 }
 
-uint64_t gate_backend_returns_us(const struct gate_backend *backend,
-				 uint64_t now_us)
+uint64_t gate_backend_resume_us(const struct gate_backend *backend,
+				uint64_t now_us)
 {
 	uint64_t until_us = backend->shed_until_us;
 
-	if (!gate_backend_serves(backend))
+	if (!gate_backend_is_eligible(backend))
 		return UINT64_MAX;
 	if (backend->state == GATE_BACKEND_DOWN)
 		until_us = MAX(until_us, backend->down_until_us);
@@ -237,65 +239,67 @@
 	return score;
 }
 
-bool gate_backend_learn(struct gate_backend *backend, enum gate_outcome outcome,
-			uint64_t service_us, uint64_t now_us)
+bool gate_backend_record_outcome(struct gate_backend *backend,
+				 enum gate_outcome outcome, uint64_t service_us,
+				 uint64_t now_us)
 {
 	backend->in_flight--;
-	backend->on_trial = false;
+	backend->trial_in_flight = false;
 	switch (outcome) {
 	case GATE_ANSWERED:
-		learn_answer(backend, service_us, now_us);
+		record_answer(backend, service_us, now_us);
 		return false;
 	case GATE_SHED:
-		learn_shed(backend, now_us);
+		record_shed(backend, now_us);
 		return false;
 	case GATE_CONNECT_FAILED:
-		backend->down_by_silence = true;
-		return learn_failure(backend, POINTS_CONNECT_FAILED);
+		backend->unreachable = true;
+		return record_failure(backend, POINTS_CONNECT_FAILED);
 	case GATE_TIMED_OUT:
 		/* It took at least this long; a slow server must look slow. */
 		gate_estimate_add(&backend->latency, service_us, now_us);
-		learn_bad_answer(backend);
-		return learn_failure(backend, POINTS_REQUEST_FAILED);
+		record_request_failure(backend);
+		return record_failure(backend, POINTS_REQUEST_FAILED);
 	case GATE_BROKEN:
-		learn_bad_answer(backend);
-		return learn_failure(backend, POINTS_REQUEST_FAILED);
+		record_request_failure(backend);
+		return record_failure(backend, POINTS_REQUEST_FAILED);
 	}
 	return false;
 }
 
-bool gate_backend_is_silent(const struct gate_backend *backend)
+bool gate_backend_is_unreachable(const struct gate_backend *backend)
 {
-	return backend->down_by_silence;
+	return backend->unreachable;
 }
 
-void gate_backend_take_down(struct gate_backend *backend, uint64_t now_us)
+void gate_backend_mark_down(struct gate_backend *backend, uint64_t now_us)
 {
 	if (backend->state == GATE_BACKEND_DOWN &&
 	    now_us < backend->down_until_us)
 		return;
-	backend->down_for_us =
-		backend->down_for_us ?
-			MIN(backend->down_for_us * 2, DOWN_MAX_US) :
+	backend->down_duration_us =
+		backend->down_duration_us ?
+			MIN(backend->down_duration_us * 2, DOWN_MAX_US) :
 			DOWN_FIRST_US;
 	backend->state = GATE_BACKEND_DOWN;
-	backend->down_until_us = now_us + backend->down_for_us;
+	backend->down_until_us = now_us + backend->down_duration_us;
 	backend->ramp_slots = MIN(1.0, backend->slots);
 	backend->failure_points = 0;
 }
 
-void gate_backend_report(struct gate_backend *backend, uint32_t in_flight,
-			 bool leaving, uint64_t now_us)
+void gate_backend_record_report(struct gate_backend *backend,
+				uint32_t in_flight, bool leaving,
+				uint64_t now_us)
 {
 	backend->reported = true;
 	backend->reported_in_flight = in_flight;
 	backend->reported_leaving = leaving;
-	backend->own_at_report = backend->in_flight;
+	backend->own_in_flight_at_report = backend->in_flight;
 	backend->reported_at_us = now_us;
 }
 
-void gate_backend_probe(struct gate_backend *backend, bool alive,
-			uint64_t now_us)
+void gate_backend_record_probe(struct gate_backend *backend, bool alive,
+			       uint64_t now_us)
 {
 	if (alive) {
 		backend->failed_probes = 0;
@@ -304,8 +308,7 @@
 		 * bring a broken server back again and again. So a good probe
 		 * shortens only a pause that silence had caused.
 		 */
-		if (backend->state == GATE_BACKEND_DOWN &&
-		    backend->down_by_silence)
+		if (backend->state == GATE_BACKEND_DOWN && backend->unreachable)
 			backend->state = GATE_BACKEND_TRIAL;
 		return;
 	}
@@ -315,10 +318,10 @@
 	 * health page may fail on its own, and taking such servers out would
 	 * overload the rest. An answer since then clears the count.
 	 */
-	if (backend->failed_probes < PROBES_DOWN ||
+	if (backend->failed_probes < FAILED_PROBES_LIMIT ||
 	    (backend->answered_at_us &&
-	     gate_age_us(backend->answered_at_us, now_us) < ANSWER_TRUST_US))
+	     gate_age_us(backend->answered_at_us, now_us) < ANSWER_RECENT_US))
 		return;
-	backend->down_by_silence = true;
-	gate_backend_take_down(backend, now_us);
+	backend->unreachable = true;
+	gate_backend_mark_down(backend, now_us);
 }
--- a/packages/core/gate_backend.h
+++ b/packages/core/gate_backend.h
@@ -22,8 +22,8 @@
 /* A mean of samples that loses weight with age. */
 struct gate_estimate {
 	double mean_us;
-	double weight; /* in samples, at learned_at_us */
-	uint64_t learned_at_us;
+	double weight; /* in samples, at updated_at_us */
+	uint64_t updated_at_us;
 };
 
 enum gate_backend_state {
@@ -44,23 +44,24 @@
 	bool reported;
 	bool reported_leaving;
 	uint32_t reported_in_flight;
-	uint32_t own_at_report; /* own requests in flight at that moment */
+	uint32_t own_in_flight_at_report; /* own requests in flight at that
+					     moment */
 	uint64_t reported_at_us;
 
 	struct gate_estimate latency;
 	double failure_rate; /* of requests that a server had begun */
 
 	enum gate_backend_state state;
-	bool on_trial; /* the one request of a trial is in flight */
-	bool down_by_silence; /* connect failures or probes, not bad answers */
+	bool trial_in_flight; /* the one request of a trial is in flight */
+	bool unreachable; /* connect failures or probes, not bad answers */
 	uint32_t failure_points; /* since the last answer */
 	uint32_t failed_probes; /* since the last answer or good probe */
 	uint64_t down_until_us;
-	uint64_t down_for_us; /* the last time down; doubles */
+	uint64_t down_duration_us; /* the last time down; doubles */
 	uint64_t answered_at_us;
 
 	double ramp_slots; /* in use up to this many; slots when warm */
-	uint32_t sheds; /* since the last answer */
+	uint32_t consecutive_sheds; /* since the last answer */
 	uint64_t shed_until_us;
 };
 
@@ -87,7 +88,7 @@
 			    const struct gate_backend_spec *spec);
 
 /* Whether it may get requests now or once its pause is over. */
-bool gate_backend_serves(const struct gate_backend *backend);
+bool gate_backend_is_eligible(const struct gate_backend *backend);
 
 /* Requests it may hold now; 0 while it is leaving, down or pausing. */
 uint32_t gate_backend_limit(const struct gate_backend *backend,
@@ -97,8 +98,8 @@
 void gate_backend_start(struct gate_backend *backend);
 
 /* When a pause ends, UINT64_MAX if it isn't pausing or never comes back. */
-uint64_t gate_backend_returns_us(const struct gate_backend *backend,
-				 uint64_t now_us);
+uint64_t gate_backend_resume_us(const struct gate_backend *backend,
+				uint64_t now_us);
 
 /* Expected time of a request there. */
 uint64_t gate_backend_latency_us(const struct gate_backend *backend,
@@ -110,19 +111,21 @@
 
 /* Account the end of a request that started; true if it ought to be taken out
  * of use. */
-bool gate_backend_learn(struct gate_backend *backend, enum gate_outcome outcome,
-			uint64_t service_us, uint64_t now_us);
+bool gate_backend_record_outcome(struct gate_backend *backend,
+				 enum gate_outcome outcome, uint64_t service_us,
+				 uint64_t now_us);
 
 /* Whether the evidence against it is certain enough to spare nobody. */
-bool gate_backend_is_silent(const struct gate_backend *backend);
+bool gate_backend_is_unreachable(const struct gate_backend *backend);
 
-void gate_backend_take_down(struct gate_backend *backend, uint64_t now_us);
+void gate_backend_mark_down(struct gate_backend *backend, uint64_t now_us);
 
-void gate_backend_report(struct gate_backend *backend, uint32_t in_flight,
-			 bool leaving, uint64_t now_us);
+void gate_backend_record_report(struct gate_backend *backend,
+				uint32_t in_flight, bool leaving,
+				uint64_t now_us);
 
-void gate_backend_probe(struct gate_backend *backend, bool alive,
-			uint64_t now_us);
+void gate_backend_record_probe(struct gate_backend *backend, bool alive,
+			       uint64_t now_us);
 
 #ifdef __cplusplus
 }
--- a/packages/core/gate_queue.c
+++ b/packages/core/gate_queue.c
@@ -51,8 +51,9 @@
 	return NULL;
 }
 
-static void take_out(struct gate_queue *queue, const struct gate_waiter *found,
-		     struct gate_waiter *waiter)
+static void pop_waiter(struct gate_queue *queue,
+		       const struct gate_waiter *found,
+		       struct gate_waiter *waiter)
 {
 	*waiter = *found;
 	gate_queue_remove(queue, waiter->waiter);
@@ -113,7 +114,7 @@
 	const struct gate_waiter *next = next_waiter(queue);
 
 	g_return_if_fail(next);
-	take_out(queue, next, waiter);
+	pop_waiter(queue, next, waiter);
 	queue->turn = (queue->turn + 1) % GATE_QUEUE_CYCLE;
 }
 
@@ -126,7 +127,7 @@
 	for (i = 0; i < SERVICE_CLASS_COUNT; i++) {
 		first = first_of_class(queue, (enum service_class)i);
 		if (first && first->start_by_us < now_us) {
-			take_out(queue, first, waiter);
+			pop_waiter(queue, first, waiter);
 			return true;
 		}
 	}
--- a/packages/core/gate_queue.h
+++ b/packages/core/gate_queue.h
@@ -26,7 +26,7 @@
 	enum service_class class_of;
 	uint64_t start_by_us; /* its chance is gone after this */
 	uint64_t deadline_us; /* for the whole answer */
-	uint64_t since_us;
+	uint64_t enqueued_us;
 	uint64_t sequence; /* arrival order, breaks ties */
 };
 
--- a/packages/core/lookup.c
+++ b/packages/core/lookup.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 /* Strides in which a place's nodes are walked, coprime to their number. */
-#define STRIDES_MOST 8
+#define MAX_STRIDES 8
 
 /* Nodes of one place outside home's that one answer names at most. */
 #define REMOTE_PLACE_NODES 2
@@ -21,7 +21,7 @@
 	uint32_t region;
 	uint32_t first; /* in the table's nodes */
 	uint32_t count;
-	uint32_t strides[STRIDES_MOST];
+	uint32_t strides[MAX_STRIDES];
 	uint32_t stride_count;
 };
 
@@ -48,10 +48,10 @@
 };
 
 /* Nodes found for one answer, of one of its parts. */
-struct found {
+struct node_list {
 	uint32_t nodes[LOOKUP_MAX_NODES];
 	uint32_t count;
-	uint32_t most;
+	uint32_t max_nodes;
 };
 
 /* One look-up while it goes on. */
@@ -93,7 +93,7 @@
 	place->strides[0] = 1;
 	place->stride_count = 1;
 	for (stride = 2; stride < place->count; stride++) {
-		if (place->stride_count == STRIDES_MOST)
+		if (place->stride_count == MAX_STRIDES)
 			return;
 		if (gcd(stride, place->count) == 1)
 			place->strides[place->stride_count++] = stride;
@@ -143,30 +143,30 @@
 		table->places[i].count = 0;
 	}
 	for (i = 0; i < config->node_count; i++) {
-		struct place_nodes *place_of =
+		struct place_nodes *own_place =
 			&table->places[config->nodes[i].place];
 
-		table->nodes[place_of->first + place_of->count++] = i;
+		table->nodes[own_place->first + own_place->count++] = i;
 	}
 }
 
-static bool is_as_far(const struct distance *one, const struct distance *other)
+static bool is_as_far(const struct distance *left, const struct distance *right)
 {
-	return one->is_remote == other->is_remote &&
-	       (!one->is_remote || one->one_way_us == other->one_way_us);
+	return left->is_remote == right->is_remote &&
+	       (!left->is_remote || left->one_way_us == right->one_way_us);
 }
 
 static int compare_distances(const void *a, const void *b)
 {
-	const struct distance *one = a;
-	const struct distance *other = b;
-
-	if (one->is_remote != other->is_remote)
-		return one->is_remote ? 1 : -1;
-	if (one->is_remote && one->one_way_us != other->one_way_us)
-		return one->one_way_us < other->one_way_us ? -1 : 1;
-	if (one->place != other->place)
-		return one->place < other->place ? -1 : 1;
+	const struct distance *left = a;
+	const struct distance *right = b;
+
+	if (left->is_remote != right->is_remote)
+		return left->is_remote ? 1 : -1;
+	if (left->is_remote && left->one_way_us != right->one_way_us)
+		return left->one_way_us < right->one_way_us ? -1 : 1;
+	if (left->place != right->place)
+		return left->place < right->place ? -1 : 1;
 	return 0;
 }
 
@@ -216,7 +216,7 @@
 	g_free(one_way_us);
 }
 
-static enum node_class class_of_node(const struct walk *walk, uint32_t node)
+static enum node_class node_class_of(const struct walk *walk, uint32_t node)
 {
 	uint8_t state = walk->states ? walk->states[node] : LOOKUP_ALIVE;
 
@@ -228,7 +228,7 @@
 }
 
 /* Different places and parts of one look-up use different bits of the draw. */
-static uint32_t mix(uint32_t draw, uint32_t salt)
+static uint32_t hash_draw(uint32_t draw, uint32_t salt)
 {
 	uint32_t mixed = draw + salt * 0x9e3779b9u;
 
@@ -239,14 +239,14 @@
 	return mixed ^ mixed >> 16;
 }
 
-static uint32_t below(uint32_t random, uint32_t bound)
+static uint32_t scale_to(uint32_t random, uint32_t bound)
 {
 	return (uint32_t)((uint64_t)random * bound >> 32);
 }
 
 /* Take usable nodes of one place until most of them are found. */
-static void take_place(const struct walk *walk, uint32_t place, uint32_t most,
-		       struct found *found)
+static void take_place(const struct walk *walk, uint32_t place,
+		       uint32_t max_nodes, struct node_list *node_list)
 {
 	const struct place_nodes *nodes = &walk->table->places[place];
 	uint32_t taken = 0;
@@ -257,15 +257,16 @@
 
 	if (!nodes->count)
 		return;
-	position = below(mix(walk->draw, 2 * place), nodes->count);
-	stride = below(mix(walk->draw, 2 * place + 1), nodes->stride_count);
+	position = scale_to(hash_draw(walk->draw, 2 * place), nodes->count);
+	stride = scale_to(hash_draw(walk->draw, 2 * place + 1),
+			  nodes->stride_count);
 	stride = nodes->strides[stride];
-	for (i = 0; i < nodes->count && taken < most; i++) {
-		if (found->count == found->most)
+	for (i = 0; i < nodes->count && taken < max_nodes; i++) {
+		if (node_list->count == node_list->max_nodes)
 			return;
 		node = walk->table->nodes[nodes->first + position];
-		if (class_of_node(walk, node) == walk->class_of) {
-			found->nodes[found->count++] = node;
+		if (node_class_of(walk, node) == walk->class_of) {
+			node_list->nodes[node_list->count++] = node;
 			taken++;
 		}
 		position = (position + stride) % nodes->count;
@@ -273,21 +274,21 @@
 }
 
 static void take_tier(const struct walk *walk, const uint32_t *places,
-		      uint32_t count, struct found *found)
+		      uint32_t count, struct node_list *node_list)
 {
-	uint32_t position = below(mix(walk->draw, 0), count);
+	uint32_t position = scale_to(hash_draw(walk->draw, 0), count);
 	uint32_t i;
 
-	for (i = 0; i < count && found->count < found->most; i++) {
+	for (i = 0; i < count && node_list->count < node_list->max_nodes; i++) {
 		if (places[position] != walk->home)
 			take_place(walk, places[position], REMOTE_PLACE_NODES,
-				   found);
+				   node_list);
 		position = position + 1 == count ? 0 : position + 1;
 	}
 }
 
-static const struct region_order *order_of(const struct lookup_table *table,
-					   uint32_t home)
+static const struct region_order *
+order_for_home(const struct lookup_table *table, uint32_t home)
 {
 	if (home >= table->place_count)
 		return &table->orders[table->region_count];
@@ -295,40 +296,43 @@
 }
 
 static void take_tiers(const struct walk *walk, uint32_t from, uint32_t to,
-		       struct found *found)
+		       struct node_list *node_list)
 {
-	const struct region_order *order = order_of(walk->table, walk->home);
+	const struct region_order *order =
+		order_for_home(walk->table, walk->home);
 	const struct tier *tier;
 	uint32_t i;
 
 	for (i = from; i < to && i < order->tier_count; i++) {
 		tier = &order->tiers[i];
 		take_tier(walk, order->places + tier->first, tier->count,
-			  found);
+			  node_list);
 	}
 }
 
-static uint32_t append(const struct found *found, uint32_t count,
+static uint32_t append(const struct node_list *node_list, uint32_t count,
 		       uint32_t *nodes)
 {
-	memcpy(nodes, found->nodes, count * sizeof(*nodes));
+	memcpy(nodes, node_list->nodes, count * sizeof(*nodes));
 	return count;
 }
 
 /* Home's nodes first, but one of each other part where the answer has room. */
-static uint32_t join(const struct found *home, const struct found *region,
-		     const struct found *others, uint32_t *nodes, uint32_t most)
+static uint32_t merge_lists(const struct node_list *home,
+			    const struct node_list *region,
+			    const struct node_list *others, uint32_t *nodes,
+			    uint32_t max_nodes)
 {
-	uint32_t kept_region = most > 2 ? MIN(region->count, 1) : 0;
-	uint32_t kept_others = most > 2 ? MIN(others->count, 1) : 0;
+	uint32_t kept_region = max_nodes > 2 ? MIN(region->count, 1) : 0;
+	uint32_t kept_others = max_nodes > 2 ? MIN(others->count, 1) : 0;
 	uint32_t count;
 	uint32_t part;
 
-	part = MIN(home->count, most - kept_region - kept_others);
+	part = MIN(home->count, max_nodes - kept_region - kept_others);
 	count = append(home, part, nodes);
-	part = MIN(region->count, most - count - kept_others);
+	part = MIN(region->count, max_nodes - count - kept_others);
 	count += append(region, part, nodes + count);
-	part = MIN(others->count, most - count);
+	part = MIN(others->count, max_nodes - count);
 	return count + append(others, part, nodes + count);
 }
 
@@ -370,29 +374,30 @@
 
 uint32_t lookup_order(const struct lookup_table *table, uint32_t home,
 		      const uint8_t *states, uint32_t draw, uint32_t *nodes,
-		      uint32_t most)
+		      uint32_t max_nodes)
 {
 	struct walk walk = { table, states, home, draw, CLASS_USABLE };
-	struct found at_home = { .count = 0 };
-	struct found in_region = { .count = 0 };
-	struct found others = { .count = 0 };
+	struct node_list at_home = { .count = 0 };
+	struct node_list in_region = { .count = 0 };
+	struct node_list others = { .count = 0 };
 	bool has_home = home < table->place_count;
 	uint32_t count = 0;
 	int class_of;
 
-	most = MIN(most, LOOKUP_MAX_NODES);
-	at_home.most = most;
-	in_region.most = most;
-	others.most = most;
+	max_nodes = MIN(max_nodes, LOOKUP_MAX_NODES);
+	at_home.max_nodes = max_nodes;
+	in_region.max_nodes = max_nodes;
+	others.max_nodes = max_nodes;
 	if (!has_home)
 		walk.home = CONFIG_NONE;
 	for (class_of = 0; class_of < CLASS_COUNT && !count; class_of++) {
 		walk.class_of = (enum node_class)class_of;
 		if (has_home)
-			take_place(&walk, home, most, &at_home);
+			take_place(&walk, home, max_nodes, &at_home);
 		take_tiers(&walk, 0, 1, &in_region);
 		take_tiers(&walk, 1, UINT32_MAX, &others);
-		count = join(&at_home, &in_region, &others, nodes, most);
+		count = merge_lists(&at_home, &in_region, &others, nodes,
+				    max_nodes);
 	}
 	return count;
 }
--- a/packages/core/lookup.h
+++ b/packages/core/lookup.h
@@ -47,7 +47,7 @@
  */
 uint32_t lookup_order(const struct lookup_table *table, uint32_t home,
 		      const uint8_t *states, uint32_t draw, uint32_t *nodes,
-		      uint32_t most);
+		      uint32_t max_nodes);
 
 #ifdef __cplusplus
 }
--- a/packages/core/read_plan.h
+++ b/packages/core/read_plan.h
@@ -40,24 +40,24 @@
 	uint32_t asks_most; /* about a word that differs */
 };
 
-enum read_from {
-	READ_NOBODY, /* look again after wait_us */
-	READ_NEIGHBOUR,
+enum read_source {
+	READ_NONE, /* look again after wait_us */
+	READ_PEER,
 	READ_PLATFORM,
 };
 
 enum read_cause {
-	READ_FOLLOWS, /* this node reads for its region */
-	READ_STARTS, /* nothing is known yet */
-	READ_WORD_DIFFERS,
-	READ_WORD_OLD,
+	READ_AS_READER, /* this node reads for its region */
+	READ_AT_START, /* nothing is known yet */
+	READ_VERSION_DIFFERS,
+	READ_CONFIRMATION_EXPIRED,
 	READ_MEMBER_UNKNOWN, /* a node was heard of that no row names */
-	READ_IN_TIME, /* nothing is to be read */
-	READ_CAUSES,
+	READ_UP_TO_DATE, /* nothing is to be read */
+	READ_CAUSE_COUNT,
 };
 
 struct read_step {
-	enum read_from from;
+	enum read_source from;
 	enum read_cause cause;
 	uint64_t wait_us; /* until the next look; 0: at once */
 };
@@ -72,15 +72,15 @@
  * nodes soon know that the platform is back, and the others by them; these call
  * seldom, and not together. spread is from 0 to 1, drawn anew for each.
  */
-uint64_t read_retry_us(uint32_t failures, uint32_t rank, double spread);
+uint64_t read_retry_delay_us(uint32_t failures, uint32_t rank, double jitter);
 
 /*
  * Whether a node may give a neighbour an answer of so many bytes now: it keeps
  * half of its link for callers. *busy_until_us is when the answers given so far
  * have left; it moves on with each one that is given.
  */
-bool read_may_give(uint64_t *busy_until_us, uint64_t bytes, uint32_t link_mbps,
-		   uint64_t now_us);
+bool read_may_serve_peer(uint64_t *busy_until_us, uint64_t bytes,
+			 uint32_t link_mbps, uint64_t now_us);
 
 #ifdef __cplusplus
 }
--- a/packages/core/route_table.c
+++ b/packages/core/route_table.c
@@ -4,12 +4,12 @@
 
 #include "core/result.h"
 
-static void part_free(gpointer data)
+static void route_service_free(gpointer data)
 {
-	struct route_part *part = data;
+	struct route_service *entry = data;
 
-	g_free(part->service);
-	g_free(part);
+	g_free(entry->service);
+	g_free(entry);
 }
 
 static void service_free(gpointer data)
@@ -56,14 +56,14 @@
 		return false;
 	}
 	for (i = 0; i < route->parts->len; i++) {
-		const struct route_part *part = route->parts->pdata[i];
+		const struct route_service *entry = route->parts->pdata[i];
 
-		weight += part->weight;
-		if (route_table_service(table, part->service))
+		weight += entry->weight;
+		if (route_table_service(table, entry->service))
 			continue;
 		g_set_error(error, RESULT_ERROR, RESULT_CONFIG_INVALID,
 			    "route %s: unknown service %s", route->name,
-			    part->service);
+			    entry->service);
 		return false;
 	}
 	if (!weight) {
@@ -97,7 +97,7 @@
 	route->host = g_ascii_strdown(host, -1);
 	route->prefix = g_strdup(prefix);
 	route->max_attempts = 1;
-	route->parts = g_ptr_array_new_with_free_func(part_free);
+	route->parts = g_ptr_array_new_with_free_func(route_service_free);
 	route->regions = g_ptr_array_new_with_free_func(g_free);
 	return route;
 }
@@ -127,13 +127,14 @@
 	return route;
 }
 
-void route_add_part(struct route *route, const char *service, uint32_t weight)
+void route_add_service(struct route *route, const char *service,
+		       uint32_t weight)
 {
-	struct route_part *part = g_new0(struct route_part, 1);
+	struct route_service *entry = g_new0(struct route_service, 1);
 
-	part->service = g_strdup(service);
-	part->weight = weight;
-	g_ptr_array_add(route->parts, part);
+	entry->service = g_strdup(service);
+	entry->weight = weight;
+	g_ptr_array_add(route->parts, entry);
 }
 
 struct service *route_table_add_service(struct route_table *table,
@@ -165,7 +166,7 @@
 		g_hash_table_insert(table->prefixes, key, route);
 }
 
-bool route_table_finish(struct route_table *table, GError **error)
+bool route_table_seal(struct route_table *table, GError **error)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -231,20 +232,20 @@
 
 const char *route_next_service(struct route *route)
 {
-	struct route_part *best = route->parts->pdata[0];
+	struct route_service *best = route->parts->pdata[0];
 	int64_t total = 0;
 	guint i;
 
 	for (i = 0; i < route->parts->len; i++) {
-		struct route_part *part = route->parts->pdata[i];
+		struct route_service *entry = route->parts->pdata[i];
 
-		part->credit += part->weight;
-		total += part->weight;
+		entry->credit += entry->weight;
+		total += entry->weight;
 		/* A part of weight 0 gets nothing, not even the first request.
 		 */
-		if (part->weight &&
-		    (!best->weight || part->credit > best->credit))
-			best = part;
+		if (entry->weight &&
+		    (!best->weight || entry->credit > best->credit))
+			best = entry;
 	}
 	best->credit -= total;
 	return best->service;
--- a/packages/core/route_table.h
+++ b/packages/core/route_table.h
@@ -17,7 +17,7 @@
 #endif
 
 /* A service that takes a weighted part of a route's requests. */
-struct route_part {
+struct route_service {
 	char *service;
 	uint32_t weight;
 	int64_t credit; /* of the smooth weighted round robin */
@@ -32,7 +32,7 @@
 	uint64_t target_us; /* latency objective */
 	uint32_t priority; /* 0 is the highest */
 	uint32_t max_attempts; /* backend servers one request may be sent to */
-	GPtrArray *parts; /* of struct route_part, at least one */
+	GPtrArray *parts; /* of struct route_service, at least one */
 	GPtrArray *regions; /* of char *: allowed ones; empty: all */
 };
 
@@ -66,7 +66,8 @@
 struct route_table *route_table_new(uint64_t version);
 struct route *route_new(const char *name, const char *host, const char *prefix);
 struct route *route_table_add(struct route_table *table, struct route *route);
-void route_add_part(struct route *route, const char *service, uint32_t weight);
+void route_add_service(struct route *route, const char *service,
+		       uint32_t weight);
 void route_free(struct route *route);
 struct service *route_table_add_service(struct route_table *table,
 					const char *name);
@@ -75,7 +76,7 @@
  * Check and seal what was built: each route has a well-formed prefix, a part
  * with a weight and only known services. RESULT_CONFIG_INVALID else.
  */
-bool route_table_finish(struct route_table *table, GError **error);
+bool route_table_seal(struct route_table *table, GError **error);
 
 struct route_table *route_table_ref(struct route_table *table);
 void route_table_unref(struct route_table *table);
--- a/packages/edge/admin_show.c
+++ b/packages/edge/admin_show.c
@@ -287,7 +287,7 @@
 };
 
 static void add_route(struct admin_table *table, const struct route *route,
-		      const struct route_part *part)
+		      const struct route_service *part)
 {
 	json_t *const values[] = {
 		admin_json_text(route->name),
--- a/packages/edge/admin_where.c
+++ b/packages/edge/admin_where.c
@@ -25,7 +25,7 @@
 			struct route *route = routes->pdata[i];
 
 			for (j = 0; j < route->parts->len; j++) {
-				const struct route_part *part =
+				const struct route_service *part =
 					route->parts->pdata[j];
 
 				if (!strcmp(part->service, service) &&
--- a/packages/edge/quarantine_store.c
+++ b/packages/edge/quarantine_store.c
@@ -59,8 +59,8 @@
 
 	log_event(LOG_WARNING, "quarantines-lost", "cause=%s failures=%u",
 		  cause, ++store->failures);
-	step_later(store,
-		   read_retry_us(store->failures, rank, g_random_double()));
+	step_later(store, read_retry_delay_us(store->failures, rank,
+					      g_random_double()));
 }
 
 /* --- writing ------------------------------------------------------------ */
@@ -314,7 +314,7 @@
 	edge->registry->vtable->read(edge->registry, REGISTRY_QUARANTINES,
 				     store->page_key ? store->page_key : "",
 				     &call);
-	stats_count_read(&edge->stats, READ_STARTS);
+	stats_count_read(&edge->stats, READ_AT_START);
 	lane_call(&store->lane, call.method, call.target, call.body,
 		  CALL_TIMEOUT_US, on_read, store);
 	registry_call_release(&call);
--- a/packages/edge/stats.c
+++ b/packages/edge/stats.c
@@ -58,7 +58,7 @@
 {
 	uint32_t i;
 
-	for (i = 0; i < READ_CAUSES; i++) {
+	for (i = 0; i < READ_CAUSE_COUNT; i++) {
 		char *label =
 			g_strdup_printf("cause=\"%s\"", read_cause_name(i));
 
--- a/packages/edge/stats.h
+++ b/packages/edge/stats.h
@@ -28,7 +28,7 @@
 	struct metric *words_rejected; /* absurd ones, of neighbours */
 	struct metric *quarantined; /* requests refused as quarantined */
 	struct metric *lookups;
-	struct metric *registry_reads[READ_CAUSES];
+	struct metric *registry_reads[READ_CAUSE_COUNT];
 	struct metric *registry_writes;
 	struct metric *asked; /* neighbours, for tables */
 	struct metric *given; /* tables to neighbours */
--- a/packages/edge/sync_answer.c
+++ b/packages/edge/sync_answer.c
@@ -284,9 +284,9 @@
 	follower->failures++;
 	log_failure(follower, cause);
 	follower_step_later(follower,
-			    read_retry_us(follower->failures,
-					  sync_own_rank(follower->sync),
-					  g_random_double()));
+			    read_retry_delay_us(follower->failures,
+						sync_own_rank(follower->sync),
+						g_random_double()));
 }
 
 /*
@@ -298,7 +298,7 @@
 {
 	const struct registry_row *last;
 
-	if (!rows->rows->len || follower->cause == READ_FOLLOWS)
+	if (!rows->rows->len || follower->cause == READ_AS_READER)
 		return;
 	last = &g_array_index(rows->rows, struct registry_row,
 			      rows->rows->len - 1);
--- a/packages/edge/sync_neighbours.c
+++ b/packages/edge/sync_neighbours.c
@@ -111,9 +111,9 @@
 		sync->given_tables = tables;
 		sync->given_us = now_us;
 	}
-	fits = read_may_give(&sync->giving_until_us,
-			     g_bytes_get_size(sync->given),
-			     (uint32_t)edge->settings.link_mbps, now_us);
+	fits = read_may_serve_peer(&sync->giving_until_us,
+				   g_bytes_get_size(sync->given),
+				   (uint32_t)edge->settings.link_mbps, now_us);
 	if (!fits)
 		return NULL;
 	metric_add(edge->stats.given, 1);
--- a/packages/edge/sync_own.c
+++ b/packages/edge/sync_own.c
@@ -24,8 +24,8 @@
 		sync->own_failures = 0;
 		return;
 	}
-	retry_us = read_retry_us(++sync->own_failures, sync_own_rank(sync),
-				 g_random_double());
+	retry_us = read_retry_delay_us(++sync->own_failures,
+				       sync_own_rank(sync), g_random_double());
 	log_event(LOG_WARNING, "own-row", "written=no status=%u cause=%s",
 		  answer ? answer->status : 0, cause ? cause : "status");
 	sync_write_own_row_later(sync, retry_us);
--- a/packages/edge/sync_parts.h
+++ b/packages/edge/sync_parts.h
@@ -88,7 +88,7 @@
 	GBytes *given; /* the latest snapshot, for neighbours */
 	uint32_t given_tables;
 	uint64_t given_us; /* when it was made */
-	uint64_t giving_until_us; /* see read_may_give() */
+	uint64_t giving_until_us; /* see read_may_serve_peer() */
 	bool was_away; /* since the last rows of backend servers */
 	bool routes_unread; /* the newest routes can't be read */
 	uint64_t lapse_until_us; /* missing backend servers are kept till then
--- a/packages/edge/sync_plan.c
+++ b/packages/edge/sync_plan.c
@@ -193,7 +193,7 @@
 		follower_call(follower);
 		return;
 	}
-	if (step.from == READ_NEIGHBOUR)
+	if (step.from == READ_PEER)
 		sync_ask_neighbour(follower->sync);
 	follower_step_later(follower, step.wait_us);
 }
--- a/packages/node/loops.c
+++ b/packages/node/loops.c
@@ -214,7 +214,7 @@
 	const struct config *config = snapshot->config;
 	uint32_t index = config_find_backend(config, backend);
 
-	return gate_says_leaving(gate, backend) ||
+	return gate_has_reported_leaving(gate, backend) ||
 	       (index != CONFIG_NONE &&
 		state_backend_leaving(node, config, &config->backends[index]));
 }
@@ -472,11 +472,11 @@
 	http_client_exchange(node->http, &request, &answer);
 	read = read_load(&answer, &in_flight, &leaving);
 	pthread_mutex_lock(&service->gate_lock);
-	gate_probe(service->gate, backend->name,
-		   answer.outcome == HTTP_ANSWERED, state_now_us(node));
+	gate_record_probe(service->gate, backend->name,
+			  answer.outcome == HTTP_ANSWERED, state_now_us(node));
 	if (read)
-		gate_report(service->gate, backend->name, in_flight, leaving,
-			    state_now_us(node));
+		gate_record_report(service->gate, backend->name, in_flight,
+				   leaving, state_now_us(node));
 	pthread_mutex_unlock(&service->gate_lock);
 	http_answer_release(&answer);
 }
--- a/tests/core/choose_test.cc
+++ b/tests/core/choose_test.cc
@@ -29,7 +29,7 @@
 		route->idempotent = true;
 		route->timeout_us = 2 * US_PER_S;
 		route->target_us = 600 * US_PER_MS;
-		route_add_part(route, "s", 1);
+		route_add_service(route, "s", 1);
 		query.route = route;
 		query.service = service;
 		query.has_object = true;
--- a/tests/core/edge_core_test.cc
+++ b/tests/core/edge_core_test.cc
@@ -73,7 +73,7 @@
 
 		route->timeout_us = 1;
 		route->target_us = 1;
-		route_add_part(route, service, 1);
+		route_add_service(route, service, 1);
 		return route;
 	}
 	struct route_table *table;
@@ -101,7 +101,7 @@
 		{ "h.example", "*", nullptr },
 	};
 
-	ASSERT_TRUE(route_table_finish(table, nullptr));
+	ASSERT_TRUE(route_table_seal(table, nullptr));
 	for (const auto &c : cases) {
 		struct route *route = route_table_find(table, c[0], c[1]);
 
@@ -112,9 +112,9 @@
 
 TEST_F(RouteTableTest, WhatIsMalformedIsRefused)
 {
-	ASSERT_TRUE(route_table_finish(table, nullptr));
+	ASSERT_TRUE(route_table_seal(table, nullptr));
 	add("bare", "h.example", "/a", "s");
-	EXPECT_FALSE(route_table_finish(table, nullptr));
+	EXPECT_FALSE(route_table_seal(table, nullptr));
 }
 
 TEST_F(RouteTableTest, AnUnknownServiceIsRefused)
@@ -122,7 +122,7 @@
 	GError *error = nullptr;
 
 	add("lost", "h.example", "/l/", "nobody");
-	EXPECT_FALSE(route_table_finish(table, &error));
+	EXPECT_FALSE(route_table_seal(table, &error));
 	ASSERT_NE(nullptr, error);
 	EXPECT_NE(nullptr, strstr(error->message, "nobody"));
 	g_error_free(error);
@@ -134,8 +134,9 @@
 	struct route *route = add("split", "h.example", "/s/", "s");
 	std::map<std::string, int> counts;
 
-	static_cast<struct route_part *>(route->parts->pdata[0])->weight = 90;
-	route_add_part(route, "t", 10);
+	static_cast<struct route_service *>(route->parts->pdata[0])->weight =
+		90;
+	route_add_service(route, "t", 10);
 	for (int i = 1; i <= 200; i++) {
 		counts[route_next_service(route)]++;
 		EXPECT_LE(abs(counts["t"] * 10 - i), 10);
--- a/tests/core/gate_test.cc
+++ b/tests/core/gate_test.cc
@@ -170,14 +170,14 @@
 	std::string first = run();
 	std::string second = first == "a" ? "b" : "a";
 
-	gate_report(gate, first.c_str(), 0, false, now_us);
+	gate_record_report(gate, first.c_str(), 0, false, now_us);
 	EXPECT_EQ(second, run());
 }
 
 TEST_F(GateTest, ReportedLoadOfOthersCountsWhileItIsFresh)
 {
 	set({ { "a", 4, 8, false, false }, { "b", 4, 8, false, false } });
-	gate_report(gate, "a", 8, false, now_us);
+	gate_record_report(gate, "a", 8, false, now_us);
 	EXPECT_EQ("b", run());
 	EXPECT_EQ("b", run());
 	now_us += 60 * S;
@@ -214,7 +214,7 @@
 		set({ { "a", 2, 0, c.in_spec, false },
 		      { "b", 1, 0, false, false } });
 	if (c.in_report)
-		gate_report(gate, "a", 1, true, now_us);
+		gate_record_report(gate, "a", 1, true, now_us);
 	EXPECT_EQ("b", run());
 	EXPECT_EQ("", run());
 	EXPECT_STREQ("a", gate_backend_name(gate, handle));
@@ -314,12 +314,12 @@
 	set({ { "a", 1, 0, false, false } });
 	answer(1, 0);
 	for (int i = 0; i < 5; i++)
-		gate_probe(gate, "a", false, now_us);
+		gate_record_probe(gate, "a", false, now_us);
 	EXPECT_EQ(1u, usable());
 	now_us += 10 * S;
-	gate_probe(gate, "a", false, now_us);
+	gate_record_probe(gate, "a", false, now_us);
 	EXPECT_EQ(0u, usable());
-	gate_probe(gate, "a", true, now_us);
+	gate_record_probe(gate, "a", true, now_us);
 	EXPECT_EQ(1u, usable());
 }
 
@@ -525,9 +525,10 @@
 			set(specs);
 			break;
 		case 1:
-			gate_report(gate, names[which], random() % 9, false,
-				    now_us);
-			gate_probe(gate, names[which], random() % 2, now_us);
+			gate_record_report(gate, names[which], random() % 9,
+					   false, now_us);
+			gate_record_probe(gate, names[which], random() % 2,
+					  now_us);
 			break;
 		case 2:
 			EXPECT_EQ(waiting.erase(waiter),
@@ -573,7 +574,7 @@
 	ASSERT_EQ("a", run());
 	ASSERT_EQ(GATE_WAIT,
 		  offer(SERVICE_BACKGROUND, 60 * S, &waiters[0]).verdict);
-	gate_report(gate, "a", 1, true, now_us);
+	gate_record_report(gate, "a", 1, true, now_us);
 	ASSERT_TRUE(gate_next(gate, now_us, &grant));
 	EXPECT_EQ(GATE_REFUSE, grant.decision.verdict);
 }
--- a/tests/core/read_plan_test.cc
+++ b/tests/core/read_plan_test.cc
@@ -25,37 +25,37 @@
 	bool differs;
 	bool path_fails;
 	uint32_t asks;
-	enum read_from from;
+	enum read_source from;
 	enum read_cause cause;
 };
 
 const plan_case plan_cases[] = {
 	{ "OneOfTheFirstReadsAtOnce", false, false, 2, true, 0, 0, false, false,
-	  0, READ_PLATFORM, READ_STARTS },
+	  0, READ_PLATFORM, READ_AT_START },
 	{ "TheOthersAskThem", false, false, 3, true, 0, 0, false, false, 9,
-	  READ_NEIGHBOUR, READ_STARTS },
+	  READ_PEER, READ_AT_START },
 	{ "ButNotForLong", false, false, 3, true, 1500 * US_PER_MS, 0, false,
-	  false, 9, READ_PLATFORM, READ_STARTS },
+	  false, 9, READ_PLATFORM, READ_AT_START },
 	{ "NobodyIsKnownYet", false, false, READ_RANK_UNKNOWN, false, 0, 0,
-	  false, false, 0, READ_NOBODY, READ_STARTS },
+	  false, false, 0, READ_NONE, READ_AT_START },
 	{ "TheReaderFollows", true, true, 0, true, NOW_US, 0, false, false, 0,
-	  READ_PLATFORM, READ_FOLLOWS },
+	  READ_PLATFORM, READ_AS_READER },
 	{ "AFreshWordSparesTheCall", true, false, 9, true, NOW_US, 0, false,
-	  false, 0, READ_NOBODY, READ_IN_TIME },
+	  false, 0, READ_NONE, READ_UP_TO_DATE },
 	{ "AnOldWordDoesNot", true, false, 9, true, NOW_US, WORD_US, false,
-	  false, 0, READ_PLATFORM, READ_WORD_OLD },
+	  false, 0, READ_PLATFORM, READ_CONFIRMATION_EXPIRED },
 	{ "AnotherWordIsAskedFor", true, false, 9, true, NOW_US, 0, true, false,
-	  1, READ_NEIGHBOUR, READ_WORD_DIFFERS },
+	  1, READ_PEER, READ_VERSION_DIFFERS },
 	{ "OfThePlatformInTheEnd", true, false, 9, true, NOW_US, 0, true, false,
-	  2, READ_PLATFORM, READ_WORD_DIFFERS },
+	  2, READ_PLATFORM, READ_VERSION_DIFFERS },
 	{ "OrWhereNobodyElseIs", true, false, 9, false, NOW_US, 0, true, false,
-	  0, READ_PLATFORM, READ_WORD_DIFFERS },
+	  0, READ_PLATFORM, READ_VERSION_DIFFERS },
 	{ "AnOldWordThatDiffersIsOld", true, false, 9, true, NOW_US, WORD_US,
-	  true, false, 0, READ_PLATFORM, READ_WORD_OLD },
+	  true, false, 0, READ_PLATFORM, READ_CONFIRMATION_EXPIRED },
 	{ "AnotherTableTriesThePath", true, false, 9, true, NOW_US, WORD_US,
-	  false, true, 0, READ_NOBODY, READ_WORD_OLD },
+	  false, true, 0, READ_NONE, READ_CONFIRMATION_EXPIRED },
 	{ "TheFirstTryByAll", true, false, 2, true, NOW_US, WORD_US, false,
-	  true, 0, READ_PLATFORM, READ_WORD_OLD },
+	  true, 0, READ_PLATFORM, READ_CONFIRMATION_EXPIRED },
 };
 
 class ReadPlanTest : public ::testing::TestWithParam<plan_case>
@@ -130,8 +130,7 @@
 		if (step.from == READ_PLATFORM) {
 			node.calls++;
 			node.whole_us = now + READ_US;
-		} else if (step.from == READ_NEIGHBOUR &&
-			   gives(node, now, lost)) {
+		} else if (step.from == READ_PEER && gives(node, now, lost)) {
 			node.whole_us = now + GIVE_US;
 		}
 		node.next_us = now + step.wait_us;
@@ -203,7 +202,7 @@
 
 		while (now_us < away_us) {
 			uint64_t pause_us =
-				read_retry_us(++failures, rank, 0.5);
+				read_retry_delay_us(++failures, rank, 0.5);
 
 			EXPECT_LE(pause_us, rank < READ_FIRST_NODES ?
 						    400 * US_PER_MS :
@@ -221,7 +220,8 @@
 /* Nodes that failed together don't come back together. */
 TEST(ReadRetryTest, PausesAreSpread)
 {
-	EXPECT_GT(read_retry_us(9, 50, 0.0) - read_retry_us(9, 50, 1.0),
+	EXPECT_GT(read_retry_delay_us(9, 50, 0.0) -
+			  read_retry_delay_us(9, 50, 1.0),
 		  300 * US_PER_MS);
 }
 
@@ -246,8 +246,9 @@
 
 		for (uint64_t now = 0; now < US_PER_S; now += 1000)
 			for (int i = 0; i < 10; i++)
-				given += read_may_give(&busy_until_us, c.bytes,
-						       c.link_mbps, now);
+				given += read_may_serve_peer(&busy_until_us,
+							     c.bytes,
+							     c.link_mbps, now);
 		EXPECT_GE(given, c.least) << c.bytes << " " << c.link_mbps;
 		EXPECT_LE(given, c.most) << c.bytes << " " << c.link_mbps;
 	}
--- a/tests/edge/neighbour_test.cc
+++ b/tests/edge/neighbour_test.cc
@@ -116,9 +116,10 @@
 	/* The second node's word grows old, and it asks the store itself. */
 	void wait_for_own_read()
 	{
-		uint64_t old = reads(READ_WORD_OLD);
+		uint64_t old = reads(READ_CONFIRMATION_EXPIRED);
 
-		wait_for([&] { return reads(READ_WORD_OLD) > old; });
+		wait_for(
+			[&] { return reads(READ_CONFIRMATION_EXPIRED) > old; });
 	}
 	void expect_through_own_read(const std::function<bool()> &holds)
 	{
@@ -169,11 +170,11 @@
 	start_first();
 	put_member("n2", endpoint_at(2), 10);
 	turn_for(300);
-	uint64_t before = reads(READ_STARTS);
+	uint64_t before = reads(READ_AT_START);
 	uint64_t written = writes();
 	start_second();
 	turn_for(100);
-	EXPECT_EQ(1u, reads(READ_STARTS) - before);
+	EXPECT_EQ(1u, reads(READ_AT_START) - before);
 	EXPECT_EQ(written, writes());
 	EXPECT_EQ(backend_table_digest(edge->backends),
 		  backend_table_digest(second.backends));
@@ -218,8 +219,8 @@
 	start_both();
 	vouch_to_second();
 	turn_for(1000);
-	uint64_t differing = reads(READ_WORD_DIFFERS);
-	uint64_t old = reads(READ_WORD_OLD);
+	uint64_t differing = reads(READ_VERSION_DIFFERS);
+	uint64_t old = reads(READ_CONFIRMATION_EXPIRED);
 	put_routes(9);
 	list_app(app, "draining");
 	wait_for([this] {
@@ -231,8 +232,8 @@
 		return second.routes->version == 9 &&
 		       backend_table_find(second.backends, "i-1")->draining;
 	});
-	EXPECT_EQ(differing, reads(READ_WORD_DIFFERS));
-	EXPECT_EQ(old, reads(READ_WORD_OLD));
+	EXPECT_EQ(differing, reads(READ_VERSION_DIFFERS));
+	EXPECT_EQ(old, reads(READ_CONFIRMATION_EXPIRED));
 	vouch_to_second();
 	EXPECT_TRUE(sync_may_deny(second_sync));
 }
@@ -256,7 +257,7 @@
 	vouch_to_second();
 	turn_for(1000);
 	edge->settings.link_mbps = 1;
-	uint64_t differing = reads(READ_WORD_DIFFERS);
+	uint64_t differing = reads(READ_VERSION_DIFFERS);
 	put_routes(9);
 	list_app(app, "draining");
 	wait_for([this] {
@@ -265,7 +266,7 @@
 	});
 	vouch_to_second();
 	wait_for([this] { return second.routes->version == 9; });
-	EXPECT_EQ(differing, reads(READ_WORD_DIFFERS));
+	EXPECT_EQ(differing, reads(READ_VERSION_DIFFERS));
 }
 
 /*
@@ -330,11 +331,11 @@
 	ASSERT_EQ(2u, member_table_count(edge->members));
 	edge->members->self->leaving = true;
 	turn_for(1200);
-	uint64_t before = reads(READ_FOLLOWS);
+	uint64_t before = reads(READ_AS_READER);
 	edge->members->self->leaving = false;
 	sync_became_ready(sync);
 	turn_for(100);
-	EXPECT_GE(reads(READ_FOLLOWS) - before, 2u);
+	EXPECT_GE(reads(READ_AS_READER) - before, 2u);
 }
 
 /*
--- a/tests/node/loops_test.cc
+++ b/tests/node/loops_test.cc
@@ -62,8 +62,8 @@
 
 	void says_leaving(fake_node *fake, bool leaving)
 	{
-		gate_report(certif(fake)->gate, "c1", 0, leaving,
-			    fake->clock.now_us);
+		gate_record_report(certif(fake)->gate, "c1", 0, leaving,
+				   fake->clock.now_us);
 	}
 
 	bool is_leaving(fake_node *fake)
