--- a/packages/core/read_plan.c
+++ b/packages/core/read_plan.c
@@ -32,10 +32,10 @@
 /* Answers not sent yet take memory; maximum, in time on the link. */
 #define SERVE_BACKLOG_MAX_US (100 * US_PER_MS)
 
-static void set_step(struct read_step *step, enum read_source from,
+static void set_step(struct read_step *step, enum read_source source,
 		     enum read_cause cause, uint64_t wait_us)
 {
-	step->from = from;
+	step->source = source;
 	step->cause = cause;
 	step->wait_us = wait_us;
 }
@@ -53,7 +53,7 @@
 	if (state->rank < READ_FIRST_NODES ||
 	    now_us >= state->started_us + START_WAIT_US)
 		set_step(step, READ_PLATFORM, READ_AT_START, 0);
-	else if (state->rank == READ_RANK_UNKNOWN || !state->has_neighbours)
+	else if (state->rank == READ_RANK_UNKNOWN || !state->has_peers)
 		set_step(step, READ_NONE, READ_AT_START, ASK_INTERVAL_US);
 	else
 		set_step(step, READ_PEER, READ_AT_START, ASK_INTERVAL_US);
@@ -62,15 +62,15 @@
 /* The retries of one table show for all whether the platform is back. */
 static bool leaves_retry_to_other_table(const struct read_state *state)
 {
-	return state->path_fails && state->rank >= READ_FIRST_NODES;
+	return state->other_table_fails && state->rank >= READ_FIRST_NODES;
 }
 
 void read_plan(const struct read_state *state, uint64_t now_us,
 	       struct read_step *step)
 {
-	uint64_t until_us = state->confirmed_us + state->word_us;
+	uint64_t until_us = state->confirmed_us + state->confirmation_ttl_us;
 
-	if (!state->whole)
+	if (!state->loaded)
 		plan_start(state, now_us, step);
 	else if (state->is_reader)
 		set_step(step, READ_PLATFORM, READ_AS_READER, 0);
@@ -79,9 +79,10 @@
 			 RETRY_MAX_US);
 	else if (until_us <= now_us)
 		set_step(step, READ_PLATFORM, READ_CONFIRMATION_EXPIRED, 0);
-	else if (!state->differs)
+	else if (!state->version_differs)
 		set_step(step, READ_NONE, READ_UP_TO_DATE, until_us - now_us);
-	else if (state->asks < state->asks_most && state->has_neighbours)
+	else if (state->peer_attempts < state->max_peer_attempts &&
+		 state->has_peers)
 		set_step(step, READ_PEER, READ_VERSION_DIFFERS,
 			 ASK_INTERVAL_US);
 	else
--- a/packages/core/read_plan.h
+++ b/packages/core/read_plan.h
@@ -27,17 +27,17 @@
 /* State of one table at a node. */
 struct read_state {
 	bool is_reader; /* this node reads for its region */
-	bool whole; /* the table was read completely, here or from a peer */
+	bool loaded; /* the table was read completely, here or from a peer */
 	/* Among the region's nodes that may read, or READ_RANK_UNKNOWN. */
 	uint32_t rank;
-	bool has_neighbours; /* another node of the region is known */
+	bool has_peers; /* another node of the region is known */
 	uint64_t started_us; /* members known, or start of the process */
 	uint64_t confirmed_us; /* last confirmation by platform or a peer */
-	uint64_t word_us; /* lifetime of a confirmation */
-	bool differs; /* the reader has another version */
-	bool path_fails; /* calls for another table fail and are retried */
-	uint32_t asks; /* consecutive peer requests without a table */
-	uint32_t asks_most; /* for a version that differs */
+	uint64_t confirmation_ttl_us; /* lifetime of a confirmation */
+	bool version_differs; /* the reader has another version */
+	bool other_table_fails; /* and its calls are retried */
+	uint32_t peer_attempts; /* consecutive peer requests without a table */
+	uint32_t max_peer_attempts; /* for a version that differs */
 };
 
 enum read_source {
@@ -57,7 +57,7 @@
 };
 
 struct read_step {
-	enum read_source from;
+	enum read_source source;
 	enum read_cause cause;
 	uint64_t wait_us; /* until the next plan; 0: at once */
 };
--- a/packages/core/route_table.c
+++ b/packages/core/route_table.c
@@ -57,8 +57,8 @@
 			    route->name);
 		return false;
 	}
-	for (i = 0; i < route->parts->len; i++) {
-		const struct route_service *entry = route->parts->pdata[i];
+	for (i = 0; i < route->services->len; i++) {
+		const struct route_service *entry = route->services->pdata[i];
 
 		weight += entry->weight;
 		if (route_table_service(table, entry->service))
@@ -100,7 +100,7 @@
 	route->host = g_ascii_strdown(host, -1);
 	route->prefix = g_strdup(prefix);
 	route->max_attempts = 1;
-	route->parts = g_ptr_array_new_with_free_func(route_service_free);
+	route->services = g_ptr_array_new_with_free_func(route_service_free);
 	route->regions = g_ptr_array_new_with_free_func(g_free);
 	return route;
 }
@@ -110,7 +110,7 @@
 	g_free(route->name);
 	g_free(route->host);
 	g_free(route->prefix);
-	g_ptr_array_unref(route->parts);
+	g_ptr_array_unref(route->services);
 	g_ptr_array_unref(route->regions);
 	g_free(route);
 }
@@ -137,7 +137,7 @@
 
 	entry->service = g_strdup(service);
 	entry->weight = weight;
-	g_ptr_array_add(route->parts, entry);
+	g_ptr_array_add(route->services, entry);
 }
 
 struct service *route_table_add_service(struct route_table *table,
@@ -235,12 +235,12 @@
 
 const char *route_next_service(struct route *route)
 {
-	struct route_service *best = route->parts->pdata[0];
+	struct route_service *best = route->services->pdata[0];
 	int64_t total = 0;
 	guint i;
 
-	for (i = 0; i < route->parts->len; i++) {
-		struct route_service *entry = route->parts->pdata[i];
+	for (i = 0; i < route->services->len; i++) {
+		struct route_service *entry = route->services->pdata[i];
 
 		entry->credit += entry->weight;
 		total += entry->weight;
--- a/packages/core/route_table.h
+++ b/packages/core/route_table.h
@@ -32,7 +32,7 @@
 	uint64_t target_us; /* latency objective */
 	uint32_t priority; /* 0 is the highest */
 	uint32_t max_attempts; /* backend servers tried per request */
-	GPtrArray *parts; /* of struct route_service, at least one */
+	GPtrArray *services; /* of struct route_service, at least one */
 	GPtrArray *regions; /* of char *: allowed regions; empty: all */
 };
 
--- a/packages/edge/admin_show.c
+++ b/packages/edge/admin_show.c
@@ -320,9 +320,9 @@
 		for (i = 0; i < routes->len; i++) {
 			const struct route *route = routes->pdata[i];
 
-			for (j = 0; j < route->parts->len; j++)
+			for (j = 0; j < route->services->len; j++)
 				add_route(&table, route,
-					  route->parts->pdata[j]);
+					  route->services->pdata[j]);
 		}
 	}
 	g_list_free(hosts);
--- a/packages/edge/admin_where.c
+++ b/packages/edge/admin_where.c
@@ -24,9 +24,9 @@
 		for (i = 0; i < routes->len; i++) {
 			struct route *route = routes->pdata[i];
 
-			for (j = 0; j < route->parts->len; j++) {
+			for (j = 0; j < route->services->len; j++) {
 				const struct route_service *part =
-					route->parts->pdata[j];
+					route->services->pdata[j];
 
 				if (!strcmp(part->service, service) &&
 				    (!found ||
--- a/packages/edge/sync_plan.c
+++ b/packages/edge/sync_plan.c
@@ -167,18 +167,20 @@
 	const struct member *neighbour;
 
 	state->is_reader = reads_for_region(sync);
-	state->whole = follower->whole;
+	state->loaded = follower->whole;
 	state->rank = read_rank(follower);
-	state->has_neighbours = member_table_first_readers(sync->edge->members,
-							   &neighbour, 1) > 0;
+	state->has_peers = member_table_first_readers(sync->edge->members,
+						      &neighbour, 1) > 0;
 	state->started_us = sync->started_us;
 	state->confirmed_us = follower->confirmed_us;
-	state->word_us = follower_time_us(follower, &follower->rule->word);
-	state->differs = follower_differs(follower);
-	state->path_fails = follower->rule->table != REGISTRY_BACKENDS &&
-			    tries_path(&sync->followers[REGISTRY_BACKENDS]);
-	state->asks = follower->asks;
-	state->asks_most = follower->rule->asks_most;
+	state->confirmation_ttl_us =
+		follower_time_us(follower, &follower->rule->word);
+	state->version_differs = follower_differs(follower);
+	state->other_table_fails =
+		follower->rule->table != REGISTRY_BACKENDS &&
+		tries_path(&sync->followers[REGISTRY_BACKENDS]);
+	state->peer_attempts = follower->asks;
+	state->max_peer_attempts = follower->rule->asks_most;
 }
 
 void follower_step(struct follower *follower)
@@ -189,11 +191,11 @@
 	fill_state(follower, &state);
 	read_plan(&state, edge_now_us(follower->sync->edge), &step);
 	follower->cause = step.cause;
-	if (step.from == READ_PLATFORM) {
+	if (step.source == READ_PLATFORM) {
 		follower_call(follower);
 		return;
 	}
-	if (step.from == READ_PEER)
+	if (step.source == READ_PEER)
 		sync_ask_neighbour(follower->sync);
 	follower_step_later(follower, step.wait_us);
 }
--- a/tests/core/edge_core_test.cc
+++ b/tests/core/edge_core_test.cc
@@ -134,7 +134,7 @@
 	struct route *route = add("split", "h.example", "/s/", "s");
 	std::map<std::string, int> counts;
 
-	static_cast<struct route_service *>(route->parts->pdata[0])->weight =
+	static_cast<struct route_service *>(route->services->pdata[0])->weight =
 		90;
 	route_add_service(route, "t", 10);
 	for (int i = 1; i <= 200; i++) {
--- a/tests/core/read_plan_test.cc
+++ b/tests/core/read_plan_test.cc
@@ -11,21 +11,21 @@
 namespace
 {
 
-const uint64_t WORD_US = 2 * US_PER_S;
+const uint64_t TTL_US = 2 * US_PER_S;
 const uint64_t NOW_US = 100 * US_PER_S;
 
 struct plan_case {
 	const char *name;
-	bool whole;
+	bool loaded;
 	bool is_reader;
 	uint32_t rank;
-	bool has_neighbours;
+	bool has_peers;
 	uint64_t since_start_us;
-	uint64_t word_age_us;
-	bool differs;
-	bool path_fails;
-	uint32_t asks;
-	enum read_source from;
+	uint64_t confirmation_age_us;
+	bool version_differs;
+	bool other_table_fails;
+	uint32_t peer_attempts;
+	enum read_source source;
 	enum read_cause cause;
 };
 
@@ -42,7 +42,7 @@
 	  0, READ_PLATFORM, READ_AS_READER },
 	{ "ValidConfirmationNeedsNoCall", true, false, 9, true, NOW_US, 0,
 	  false, false, 0, READ_NONE, READ_UP_TO_DATE },
-	{ "ExpiredConfirmationNeedsCall", true, false, 9, true, NOW_US, WORD_US,
+	{ "ExpiredConfirmationNeedsCall", true, false, 9, true, NOW_US, TTL_US,
 	  false, false, 0, READ_PLATFORM, READ_CONFIRMATION_EXPIRED },
 	{ "DifferingVersionIsReadFromPeer", true, false, 9, true, NOW_US, 0,
 	  true, false, 1, READ_PEER, READ_VERSION_DIFFERS },
@@ -51,10 +51,10 @@
 	{ "DifferingVersionFromPlatformWithoutPeers", true, false, 9, false,
 	  NOW_US, 0, true, false, 0, READ_PLATFORM, READ_VERSION_DIFFERS },
 	{ "ExpiryComesBeforeDifferingVersion", true, false, 9, true, NOW_US,
-	  WORD_US, true, false, 0, READ_PLATFORM, READ_CONFIRMATION_EXPIRED },
-	{ "LeavesRetryToOtherTable", true, false, 9, true, NOW_US, WORD_US,
+	  TTL_US, true, false, 0, READ_PLATFORM, READ_CONFIRMATION_EXPIRED },
+	{ "LeavesRetryToOtherTable", true, false, 9, true, NOW_US, TTL_US,
 	  false, true, 0, READ_NONE, READ_CONFIRMATION_EXPIRED },
-	{ "FirstNodesRetryAllTables", true, false, 2, true, NOW_US, WORD_US,
+	{ "FirstNodesRetryAllTables", true, false, 2, true, NOW_US, TTL_US,
 	  false, true, 0, READ_PLATFORM, READ_CONFIRMATION_EXPIRED },
 };
 
@@ -67,21 +67,21 @@
 	const plan_case &c = GetParam();
 	const struct read_state state = {
 		.is_reader = c.is_reader,
-		.whole = c.whole,
+		.loaded = c.loaded,
 		.rank = c.rank,
-		.has_neighbours = c.has_neighbours,
+		.has_peers = c.has_peers,
 		.started_us = NOW_US - c.since_start_us,
-		.confirmed_us = NOW_US - c.word_age_us,
-		.word_us = WORD_US,
-		.differs = c.differs,
-		.path_fails = c.path_fails,
-		.asks = c.asks,
-		.asks_most = 2,
+		.confirmed_us = NOW_US - c.confirmation_age_us,
+		.confirmation_ttl_us = TTL_US,
+		.version_differs = c.version_differs,
+		.other_table_fails = c.other_table_fails,
+		.peer_attempts = c.peer_attempts,
+		.max_peer_attempts = 2,
 	};
 	struct read_step step;
 
 	read_plan(&state, NOW_US, &step);
-	EXPECT_EQ(c.from, step.from);
+	EXPECT_EQ(c.source, step.source);
 	EXPECT_EQ(c.cause, step.cause);
 }
 
@@ -101,20 +101,20 @@
 	struct Node {
 		struct read_state state = {};
 		uint64_t next_us = 0;
-		uint64_t whole_us = UINT64_MAX; /* when it has the table */
+		uint64_t loaded_us = UINT64_MAX; /* when it has the table */
 		uint32_t calls = 0;
 	};
-	static constexpr uint64_t READ_US = 600 * US_PER_MS;
-	static constexpr uint64_t GIVE_US = 20 * US_PER_MS;
+	static constexpr uint64_t PLATFORM_READ_US = 600 * US_PER_MS;
+	static constexpr uint64_t PEER_READ_US = 20 * US_PER_MS;
 
 	/* Start count nodes; the first `lost` ones never come up. */
-	void play(uint32_t count, uint32_t lost)
+	void run(uint32_t count, uint32_t lost)
 	{
 		nodes.assign(count, Node());
 		for (uint32_t i = 0; i < count; i++) {
 			nodes[i].state.rank = i;
-			nodes[i].state.has_neighbours = count > 1;
-			nodes[i].state.word_us = WORD_US;
+			nodes[i].state.has_peers = count > 1;
+			nodes[i].state.confirmation_ttl_us = TTL_US;
 		}
 		for (uint64_t now = 0; now < 5 * US_PER_S; now += 10000)
 			for (uint32_t i = lost; i < count; i++)
@@ -124,23 +124,24 @@
 	{
 		struct read_step step;
 
-		if (node.whole_us != UINT64_MAX || now < node.next_us)
+		if (node.loaded_us != UINT64_MAX || now < node.next_us)
 			return;
 		read_plan(&node.state, now, &step);
-		if (step.from == READ_PLATFORM) {
+		if (step.source == READ_PLATFORM) {
 			node.calls++;
-			node.whole_us = now + READ_US;
-		} else if (step.from == READ_PEER && gives(node, now, lost)) {
-			node.whole_us = now + GIVE_US;
+			node.loaded_us = now + PLATFORM_READ_US;
+		} else if (step.source == READ_PEER &&
+			   peer_has_table(node, now, lost)) {
+			node.loaded_us = now + PEER_READ_US;
 		}
 		node.next_us = now + step.wait_us;
 	}
-	bool gives(Node &node, uint64_t now, uint32_t lost)
+	bool peer_has_table(Node &node, uint64_t now, uint32_t lost)
 	{
-		uint32_t giver = (node.state.rank + node.state.asks++) %
-				 READ_FIRST_NODES;
+		uint32_t peer = (node.state.rank + node.state.peer_attempts++) %
+				READ_FIRST_NODES;
 
-		return giver >= lost && nodes[giver].whole_us <= now;
+		return peer >= lost && nodes[peer].loaded_us <= now;
 	}
 	uint32_t calls() const
 	{
@@ -150,12 +151,12 @@
 			sum += node.calls;
 		return sum;
 	}
-	uint64_t last_whole_us(uint32_t from) const
+	uint64_t last_loaded_us(uint32_t from) const
 	{
 		uint64_t last = 0;
 
 		for (size_t i = from; i < nodes.size(); i++)
-			last = MAX(last, nodes[i].whole_us);
+			last = MAX(last, nodes[i].loaded_us);
 		return last;
 	}
 	std::vector<Node> nodes;
@@ -164,24 +165,24 @@
 TEST_F(StartTest, CallsDoNotGrowWithTheNodes)
 {
 	for (uint32_t count : { 1u, 3u, 98u, 367u }) {
-		play(count, 0);
+		run(count, 0);
 		EXPECT_EQ(MIN(count, READ_FIRST_NODES), calls()) << count;
-		EXPECT_LE(last_whole_us(0), US_PER_S) << count;
+		EXPECT_LE(last_loaded_us(0), US_PER_S) << count;
 	}
 }
 
 TEST_F(StartTest, LossOfOneFirstNodeCausesNoExtraCall)
 {
-	play(98, 1);
+	run(98, 1);
 	EXPECT_EQ(READ_FIRST_NODES - 1u, calls());
-	EXPECT_LE(last_whole_us(1), 1200 * US_PER_MS);
+	EXPECT_LE(last_loaded_us(1), 1200 * US_PER_MS);
 }
 
 TEST_F(StartTest, WithoutFirstNodesTheOthersCallThePlatform)
 {
-	play(98, READ_FIRST_NODES);
+	run(98, READ_FIRST_NODES);
 	EXPECT_EQ(95u, calls());
-	EXPECT_LE(last_whole_us(READ_FIRST_NODES), 2200 * US_PER_MS);
+	EXPECT_LE(last_loaded_us(READ_FIRST_NODES), 2200 * US_PER_MS);
 }
 
 /*
--- a/tests/edge/documents_test.cc
+++ b/tests/edge/documents_test.cc
@@ -214,7 +214,7 @@
 	const struct route *route = route_table_find(table, "h", "/p/x");
 	ASSERT_EQ(c.routes > 0, route != nullptr);
 	if (route) {
-		EXPECT_EQ(c.parts, route->parts->len);
+		EXPECT_EQ(c.parts, route->services->len);
 		EXPECT_EQ(2000000u, route->timeout_us);
 	}
 	route_table_unref(table);
