--- a/packages/core/gate_backend.c
+++ b/packages/core/gate_backend.c
@@ -42,9 +42,9 @@
 			      uint64_t now_us)
 {
 	double age_us = (double)gate_age_us(estimate->updated_at_us, now_us);
-	double fade = 1.0 + age_us / ESTIMATE_DECAY_US;
+	double decay = 1.0 + age_us / ESTIMATE_DECAY_US;
 
-	return estimate->weight / (fade * fade);
+	return estimate->weight / (decay * decay);
 }
 
 static bool is_ramping(const struct gate_backend *backend)
@@ -119,9 +119,9 @@
 }
 
 /*
- * A server that sheds has less capacity than its slots, because of other
- * callers of its own or a fault. A pause and a lower limit keep its refusals
- * from using up retries; each answer raises the limit by half a slot.
+ * A server that sheds has less capacity than its slots, because other callers
+ * or a fault take it up. A pause and a lower limit keep its refusals from using
+ * up retries; each answer raises the limit by half a slot.
  */
 static void record_shed(struct gate_backend *backend, uint64_t now_us)
 {
--- a/packages/core/lookup.c
+++ b/packages/core/lookup.c
@@ -125,7 +125,7 @@
 	return count;
 }
 
-static void place_nodes(const struct config *config, struct lookup_table *table)
+static void index_nodes(const struct config *config, struct lookup_table *table)
 {
 	uint32_t first = 0;
 	uint32_t place;
@@ -351,7 +351,7 @@
 	table->places = g_new0(struct place_nodes, config->place_count);
 	table->nodes = g_new0(uint32_t, config->node_count);
 	table->drained = g_new0(bool, config->node_count);
-	place_nodes(config, table);
+	index_nodes(config, table);
 	table->region_count = count_regions(config, table, first_places);
 	table->orders = g_new0(struct region_order, table->region_count + 1);
 	for (i = 0; i <= table->region_count; i++)
