--- a/packages/edge/admin_show.c
+++ b/packages/edge/admin_show.c
@@ -289,7 +289,7 @@
 };
 
 static void add_route(struct admin_table *table, const struct route *route,
-		      const struct route_part *part)
+		      const struct route_service *part)
 {
 	json_t *const values[] = {
 		admin_json_text(route->name),
@@ -322,9 +322,9 @@
 		for (i = 0; i < routes->len; i++) {
 			const struct route *route = routes->pdata[i];
 
-			for (j = 0; j < route->parts->len; j++)
+			for (j = 0; j < route->services->len; j++)
 				add_route(&table, route,
-					  route->parts->pdata[j]);
+					  route->services->pdata[j]);
 		}
 	}
 	g_list_free(hosts);
