--- a/experiment/baselines.c
+++ b/experiment/baselines.c
@@ -95,7 +95,7 @@
 				const struct choose_query *query)
 {
 	const GPtrArray *backends =
-		backend_table_of(node->backends, query->service->name);
+		backend_table_by_service(node->backends, query->service->name);
 
 	if (!backends || !backends->len)
 		return NULL;
--- a/experiment/beats.c
+++ b/experiment/beats.c
@@ -9,7 +9,7 @@
 struct letter {
 	struct node *from;
 	struct node *to;
-	GArray *news; /* of struct warm_news */
+	GArray *news; /* of struct warm_update */
 	GArray *loads; /* of struct node_load; NULL: none */
 };
 
@@ -22,13 +22,13 @@
 {
 	uint64_t now_us = node->fleet->now_us;
 	enum warm_source source = letter->from->region == node->region ?
-					  WARM_TOLD :
-					  WARM_PASSED_ON;
+					  WARM_RECEIVED :
+					  WARM_RELAYED;
 	guint i;
 
 	for (i = 0; i < letter->news->len; i++) {
-		const struct warm_news *news =
-			&g_array_index(letter->news, struct warm_news, i);
+		const struct warm_update *news =
+			&g_array_index(letter->news, struct warm_update, i);
 
 		if (!news->ready_us)
 			warmth_note(&node->warmth, news->pair, source, now_us);
@@ -42,16 +42,17 @@
 {
 	guint i;
 
-	backend_table_forget_words(node->backends, letter->from->index);
+	backend_table_clear_peer_loads(node->backends, letter->from->index);
 	for (i = 0; i < letter->loads->len; i++) {
 		const struct node_load *load =
 			&g_array_index(letter->loads, struct node_load, i);
-		struct backend *backend =
-			backend_table_find_life(node->backends, load->backend);
+		struct backend *backend = backend_table_find_incarnation(
+			node->backends, load->backend);
 
 		if (backend)
-			backend_told(backend, letter->from->index,
-				     load->in_flight, node->fleet->now_us);
+			backend_note_peer_load(backend, letter->from->index,
+					       load->in_flight,
+					       node->fleet->now_us);
 	}
 }
 
@@ -119,7 +120,7 @@
 {
 	GArray *taken = *news;
 
-	*news = g_array_new(FALSE, FALSE, sizeof(struct warm_news));
+	*news = g_array_new(FALSE, FALSE, sizeof(struct warm_update));
 	return taken;
 }
 
--- a/experiment/nodes.c
+++ b/experiment/nodes.c
@@ -142,9 +142,9 @@
 {
 	const struct server *server = request->server;
 
-	backend_reported(request->choice.backend, server->running,
-			 g_queue_get_length((GQueue *)&server->waiting),
-			 server->fleet->now_us);
+	backend_note_load(request->choice.backend, server->running,
+			  g_queue_get_length((GQueue *)&server->waiting),
+			  server->fleet->now_us);
 }
 
 void node_answered(struct request *request)
@@ -172,13 +172,13 @@
 	request->retry.left_us = request->due_us > fleet->now_us ?
 					 request->due_us - fleet->now_us :
 					 0;
-	switch (retry_after(&request->retry, outcome)) {
+	switch (retry_decide(&request->retry, outcome)) {
 	case RETRY_FREE:
 		return true;
-	case RETRY_PAID:
+	case RETRY_BUDGETED:
 		return extra_budget_take(&node->budget, &fleet->extra,
 					 fleet->node_count, fleet->now_us);
-	case RETRY_NOT:
+	case RETRY_NONE:
 		break;
 	}
 	return false;
@@ -231,7 +231,7 @@
 
 	for (i = 0; i < fleet->server_count; i++) {
 		char *region = region_name(fleet->servers[i].region);
-		const struct backend_facts facts = {
+		const struct backend_info facts = {
 			.id = fleet->servers[i].id,
 			.service = SERVICE,
 			.domain = region,
@@ -258,7 +258,7 @@
 
 		g_free(member->region);
 		member->region = region_name(fleet->nodes[i].region);
-		member_heard(member, 1, false, fleet->now_us);
+		member_note_heartbeat(member, 1, false, fleet->now_us);
 		g_free(name);
 	}
 }
--- a/packages/core/backend_table.c
+++ b/packages/core/backend_table.c
@@ -10,20 +10,20 @@
  * How fast a reported load is forgotten: requests take a second or so, after
  * which the ones it counted have ended.
  */
-#define OTHERS_FADE_US (1 * US_PER_S)
+#define OTHER_LOAD_DECAY_US (1 * US_PER_S)
 
 /* Neighbours' word is older than three of their beats: it counts no longer. */
-#define TOLD_VALID_US (1500 * US_PER_MS)
+#define PEER_LOAD_VALID_US (1500 * US_PER_MS)
 
 /* Weight of one outcome in the share of failures: about the last 10. */
 #define FAILURE_WEIGHT 0.1
 
 /* First and longest spell without requests after a server was unreachable. */
 #define SHUN_FIRST_US (500 * US_PER_MS)
-#define SHUN_MOST_US (4 * US_PER_S)
+#define SHUN_MAX_US (4 * US_PER_S)
 
 /* Share of failed requests from which a server is left alone for a spell. */
-#define FAILURES_SHUN 0.6
+#define SHUN_FAILURE_SHARE 0.6
 
 /*
  * Times before a service has answered: the objective is set so that a warm
@@ -71,9 +71,9 @@
 }
 
 /* Connections that end within this time ended for one reason. */
-#define ENDED_TOGETHER_US (20 * US_PER_MS)
+#define DISCONNECT_BURST_US (20 * US_PER_MS)
 
-static uint32_t life_of(uint32_t hash, uint64_t started_ms)
+static uint32_t incarnation_of(uint32_t hash, uint64_t started_ms)
 {
 	if (!started_ms)
 		return hash;
@@ -82,7 +82,7 @@
 }
 
 static struct backend *add(struct backend_table *table,
-			   const struct backend_facts *facts, uint64_t now_us)
+			   const struct backend_info *facts, uint64_t now_us)
 {
 	struct backend *backend = g_new0(struct backend, 1);
 	GPtrArray *list =
@@ -91,7 +91,7 @@
 	backend->references = 1;
 	backend->id = g_strdup(facts->id);
 	backend->hash = hash_text(facts->id);
-	backend->life = life_of(backend->hash, facts->started_ms);
+	backend->life = incarnation_of(backend->hash, facts->started_ms);
 	backend->started_ms = facts->started_ms;
 	backend->service = g_strdup(facts->service);
 	backend->domain = g_strdup(facts->domain);
@@ -114,17 +114,17 @@
  * Changes that nobody takes are forgotten beyond this: a failure domain's worth
  * of servers that come or go at once.
  */
-#define CHANGES_MOST 512
+#define MAX_CHANGES 512
 
 /* Until the list was read whole there is nothing that could have changed. */
 static void note_change(struct backend_table *table, const char *id)
 {
-	if (table->whole && table->changes->len < CHANGES_MOST)
+	if (table->whole && table->changes->len < MAX_CHANGES)
 		g_ptr_array_add(table->changes, g_strdup(id));
 }
 
-static bool says_something_new(const struct backend *backend,
-			       const struct backend_facts *facts)
+static bool info_differs(const struct backend *backend,
+			 const struct backend_info *facts)
 {
 	return !backend->slots || backend->slots != facts->slots ||
 	       backend->draining != facts->draining ||
@@ -158,8 +158,8 @@
 	return changes;
 }
 
-static void take_out(struct backend_table *table, struct backend *backend,
-		     uint64_t now_us)
+static void remove_from_table(struct backend_table *table,
+			      struct backend *backend, uint64_t now_us)
 {
 	GPtrArray *list =
 		g_hash_table_lookup(table->by_service, backend->service);
@@ -169,7 +169,7 @@
 	note_change(table, backend->id);
 	g_ptr_array_remove(list, backend);
 	/* Of two lives with one hash the later one has it. */
-	if (backend_table_find_life(table, backend->life) == backend)
+	if (backend_table_find_incarnation(table, backend->life) == backend)
 		g_hash_table_remove(table->by_life,
 				    GUINT_TO_POINTER(backend->life));
 	g_hash_table_remove(table->by_id, backend->id);
@@ -182,13 +182,13 @@
  */
 static struct backend *restart(struct backend_table *table,
 			       struct backend *before,
-			       const struct backend_facts *facts,
+			       const struct backend_info *facts,
 			       uint64_t now_us)
 {
 	struct backend *backend;
 
 	backend_ref(before);
-	take_out(table, before, now_us);
+	remove_from_table(table, before, now_us);
 	backend = add(table, facts, now_us);
 	memcpy(backend->cold_log, before->cold_log, sizeof(backend->cold_log));
 	backend->cold_next = before->cold_next;
@@ -197,7 +197,7 @@
 }
 
 bool backend_table_knows_newer(const struct backend_table *table,
-			       const struct backend_facts *facts)
+			       const struct backend_info *facts)
 {
 	const struct backend *known = backend_table_find(table, facts->id);
 
@@ -210,7 +210,7 @@
 }
 
 struct backend *backend_table_put(struct backend_table *table,
-				  const struct backend_facts *facts,
+				  const struct backend_info *facts,
 				  uint64_t now_us)
 {
 	struct backend *backend = backend_table_find(table, facts->id);
@@ -221,7 +221,7 @@
 		backend = add(table, facts, now_us);
 	else if (facts->started_ms > backend->started_ms)
 		backend = restart(table, backend, facts, now_us);
-	if (says_something_new(backend, facts))
+	if (info_differs(backend, facts))
 		note_change(table, facts->id);
 	if (facts->draining && !backend->draining)
 		table->disturbed_us = now_us;
@@ -270,7 +270,7 @@
 	if (!backend)
 		return;
 	if (backend->draining || keep_until_us <= now_us)
-		take_out(table, backend, now_us);
+		remove_from_table(table, backend, now_us);
 	else if (!backend->lapsed_us)
 		backend->lapsed_us = keep_until_us;
 }
@@ -298,7 +298,7 @@
 			g_ptr_array_add(expired, value);
 	}
 	for (i = 0; i < expired->len; i++)
-		take_out(table, expired->pdata[i], now_us);
+		remove_from_table(table, expired->pdata[i], now_us);
 	g_ptr_array_unref(expired);
 	g_hash_table_foreach_remove(table->removed, is_long_removed, &now_us);
 }
@@ -309,20 +309,20 @@
 	return g_hash_table_lookup(table->by_id, id);
 }
 
-struct backend *backend_table_find_life(const struct backend_table *table,
-					uint32_t life)
+struct backend *
+backend_table_find_incarnation(const struct backend_table *table, uint32_t life)
 {
 	return g_hash_table_lookup(table->by_life, GUINT_TO_POINTER(life));
 }
 
-const GPtrArray *backend_table_of(const struct backend_table *table,
-				  const char *service)
+const GPtrArray *backend_table_by_service(const struct backend_table *table,
+					  const char *service)
 {
 	return g_hash_table_lookup(table->by_service, service);
 }
 
-static void chill_domain(struct backend_table *table, const char *domain,
-			 uint64_t until_us)
+static void mark_domain_cold(struct backend_table *table, const char *domain,
+			     uint64_t until_us)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -346,7 +346,7 @@
 		return;
 	}
 	if (g_hash_table_remove(table->evacuated, domain))
-		chill_domain(table, domain, now_us + warmup_us);
+		mark_domain_cold(table, domain, now_us + warmup_us);
 }
 
 bool backend_table_evacuated(const struct backend_table *table,
@@ -402,7 +402,7 @@
 	backend->served++;
 	if (backend->cold_until_us <= now_us)
 		return;
-	backend->cold_log[backend->cold_next++ % COLD_LOG] = now_us;
+	backend->cold_log[backend->cold_next++ % COLD_LOG_SIZE] = now_us;
 }
 
 void backend_end(struct backend *backend, double work_us)
@@ -417,8 +417,8 @@
 				    0;
 }
 
-void backend_reported(struct backend *backend, uint32_t running,
-		      uint32_t waiting, uint64_t now_us)
+void backend_note_load(struct backend *backend, uint32_t running,
+		       uint32_t waiting, uint64_t now_us)
 {
 	double total = (double)running + waiting;
 
@@ -426,7 +426,8 @@
 	backend->others_us = now_us;
 }
 
-void backend_table_forget_words(struct backend_table *table, uint32_t sender)
+void backend_table_clear_peer_loads(struct backend_table *table,
+				    uint32_t sender)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -436,19 +437,19 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct backend *backend = value;
 
-		for (i = 0; i < BACKEND_WORDS; i++)
+		for (i = 0; i < BACKEND_MAX_PEER_LOADS; i++)
 			if (backend->told[i].sender == sender)
 				backend->told[i].at_us = 0;
 	}
 }
 
-void backend_told(struct backend *backend, uint32_t sender, uint32_t in_flight,
-		  uint64_t now_us)
+void backend_note_peer_load(struct backend *backend, uint32_t sender,
+			    uint32_t in_flight, uint64_t now_us)
 {
-	struct backend_word *oldest = &backend->told[0];
+	struct backend_peer_load *oldest = &backend->told[0];
 	uint32_t i;
 
-	for (i = 1; i < BACKEND_WORDS; i++)
+	for (i = 1; i < BACKEND_MAX_PEER_LOADS; i++)
 		if (backend->told[i].at_us < oldest->at_us)
 			oldest = &backend->told[i];
 	oldest->sender = sender;
@@ -456,15 +457,15 @@
 	oldest->at_us = now_us;
 }
 
-static double told_load(const struct backend *backend, uint64_t now_us)
+static double sum_peer_loads(const struct backend *backend, uint64_t now_us)
 {
 	double load = 0;
 	uint32_t i;
 
-	for (i = 0; i < BACKEND_WORDS; i++) {
-		const struct backend_word *word = &backend->told[i];
+	for (i = 0; i < BACKEND_MAX_PEER_LOADS; i++) {
+		const struct backend_peer_load *word = &backend->told[i];
 
-		if (word->at_us && now_us - word->at_us < TOLD_VALID_US)
+		if (word->at_us && now_us - word->at_us < PEER_LOAD_VALID_US)
 			load += word->in_flight;
 	}
 	return load;
@@ -473,14 +474,15 @@
 double backend_load(const struct backend *backend, uint64_t now_us)
 {
 	double age_us = (double)(now_us - backend->others_us);
-	double others = backend->others * exp(-age_us / OTHERS_FADE_US);
+	double others = backend->others * exp(-age_us / OTHER_LOAD_DECAY_US);
 
-	return backend->in_flight + fmax(others, told_load(backend, now_us));
+	return backend->in_flight +
+	       fmax(others, sum_peer_loads(backend, now_us));
 }
 
-void backend_ended_connection(struct backend *backend, uint64_t now_us)
+void backend_closed_connection(struct backend *backend, uint64_t now_us)
 {
-	if (now_us - backend->ended_us > ENDED_TOGETHER_US)
+	if (now_us - backend->ended_us > DISCONNECT_BURST_US)
 		backend->ended_together = 0;
 	backend->ended_together++;
 	backend->ended_us = now_us;
@@ -503,7 +505,7 @@
 
 	if (now_us < backend->shun_until_us)
 		return;
-	step_us = CLAMP(step_us, SHUN_FIRST_US, SHUN_MOST_US);
+	step_us = CLAMP(step_us, SHUN_FIRST_US, SHUN_MAX_US);
 	backend->shun_step_us = step_us;
 	backend->shun_until_us = now_us + step_us;
 }
@@ -511,7 +513,7 @@
 void backend_failed(struct backend *backend, uint64_t now_us)
 {
 	backend->failures += FAILURE_WEIGHT * (1.0 - backend->failures);
-	if (backend->failures > FAILURES_SHUN)
+	if (backend->failures > SHUN_FAILURE_SHARE)
 		shun(backend, now_us);
 }
 
@@ -529,7 +531,7 @@
 	uint32_t sends = 0;
 	uint32_t i;
 
-	for (i = 0; i < COLD_LOG; i++)
+	for (i = 0; i < COLD_LOG_SIZE; i++)
 		if (backend->cold_log[i] &&
 		    now_us - backend->cold_log[i] < US_PER_S)
 			sends++;
--- a/packages/core/backend_table.h
+++ b/packages/core/backend_table.h
@@ -2,10 +2,10 @@
  * backend_table - the backend servers and what is believed of each
  *
  * What the platform's list says (backend_table_put, _remove), what answers show
- * (backend_begin, backend_end, backend_reported) and what neighbours say
- * (backend_told). A backend server lives as long as somebody holds a reference,
- * so that a request that runs there when it leaves ends in peace. Not
- * thread-safe. Times are those of the clock port.
+ * (backend_begin, backend_end, backend_note_load) and what neighbours say
+ * (backend_note_peer_load). A backend server lives as long as somebody holds a
+ * reference, so that a request that runs there when it leaves ends in peace.
+ * Not thread-safe. Times are those of the clock port.
  */
 #ifndef CORE_BACKEND_TABLE_H
 #define CORE_BACKEND_TABLE_H
@@ -22,16 +22,16 @@
 #endif
 
 /* Sends that cold_log remembers; more than one second's on any one node. */
-#define COLD_LOG 16
+#define COLD_LOG_SIZE 16
 
 /* Neighbours whose word is kept for each backend server; the latest ones. */
-#define BACKEND_WORDS 8
+#define BACKEND_MAX_PEER_LOADS 8
 
 /*
  * One backend server as the platform's list has it. A restart has another id,
  * or the same and a later start.
  */
-struct backend_facts {
+struct backend_info {
 	const char *id;
 	const char *service;
 	struct endpoint address;
@@ -45,7 +45,7 @@
 };
 
 /* A neighbour's word on how many requests of its own are there. */
-struct backend_word {
+struct backend_peer_load {
 	uint32_t sender;
 	uint32_t in_flight;
 	uint64_t at_us; /* 0: none */
@@ -79,7 +79,8 @@
 	double pledged_us; /* their expected service times, summed */
 	double others; /* estimate of the other nodes' requests there */
 	uint64_t others_us; /* when that was */
-	struct backend_word told[BACKEND_WORDS]; /* of neighbours */
+	struct backend_peer_load told[BACKEND_MAX_PEER_LOADS]; /* of neighbours
+								*/
 
 	double slowness; /* service time against the service's usual one */
 	double failures; /* smoothed share of requests that failed */
@@ -88,7 +89,8 @@
 	uint64_t shun_until_us; /* gets nothing before, after failures */
 	uint64_t shun_step_us;
 	uint64_t served; /* requests sent from here */
-	uint64_t cold_log[COLD_LOG]; /* times of the latest sends while cold */
+	uint64_t cold_log[COLD_LOG_SIZE]; /* times of the latest sends while
+					     cold */
 	uint32_t cold_next;
 };
 
@@ -129,12 +131,12 @@
  * before they come from the list. NULL where a newer row removed the server.
  */
 struct backend *backend_table_put(struct backend_table *table,
-				  const struct backend_facts *facts,
+				  const struct backend_info *facts,
 				  uint64_t now_us);
 
 /* Whether what is known is newer than this; such facts are ignored. */
 bool backend_table_knows_newer(const struct backend_table *table,
-			       const struct backend_facts *facts);
+			       const struct backend_info *facts);
 
 /*
  * The list of this version (0: not said) has it no longer; ignored where a
@@ -154,12 +156,13 @@
 
 struct backend *backend_table_find(const struct backend_table *table,
 				   const char *id);
-struct backend *backend_table_find_life(const struct backend_table *table,
-					uint32_t life);
+struct backend *
+backend_table_find_incarnation(const struct backend_table *table,
+			       uint32_t life);
 
 /* Those of the service, or NULL. */
-const GPtrArray *backend_table_of(const struct backend_table *table,
-				  const char *service);
+const GPtrArray *backend_table_by_service(const struct backend_table *table,
+					  const char *service);
 
 /*
  * Evacuation of a failure domain begins or ends. Its servers' caches and
@@ -205,19 +208,20 @@
 double backend_mean_work_us(const struct backend *backend);
 
 /* It answered: running and waiting requests there, of all nodes. */
-void backend_reported(struct backend *backend, uint32_t running,
-		      uint32_t waiting, uint64_t now_us);
+void backend_note_load(struct backend *backend, uint32_t running,
+		       uint32_t waiting, uint64_t now_us);
 
 /* A neighbour begins to say how many requests of its own are where. */
-void backend_table_forget_words(struct backend_table *table, uint32_t sender);
-void backend_told(struct backend *backend, uint32_t sender, uint32_t in_flight,
-		  uint64_t now_us);
+void backend_table_clear_peer_loads(struct backend_table *table,
+				    uint32_t sender);
+void backend_note_peer_load(struct backend *backend, uint32_t sender,
+			    uint32_t in_flight, uint64_t now_us);
 
 /* Requests there, of all nodes, as far as is known. */
 double backend_load(const struct backend *backend, uint64_t now_us);
 
 /* The server's side ended a connection of this node's. */
-void backend_ended_connection(struct backend *backend, uint64_t now_us);
+void backend_closed_connection(struct backend *backend, uint64_t now_us);
 
 /* It answered what was sent to it at that time, however. */
 void backend_answered(struct backend *backend, uint64_t sent_us);
--- a/packages/core/candidate.c
+++ b/packages/core/candidate.c
@@ -25,7 +25,7 @@
 #define LOAD_COST 0.1
 
 /* Requests over its slots that a server may hold, as a part of the slots. */
-#define QUEUE_PART 1.0
+#define QUEUE_FRACTION 1.0
 
 /*
  * Load, as a part of its slots, up to which a server may do cold what another
@@ -34,7 +34,7 @@
  * from the others than it gives. Well below all slots, since loads are known
  * late and too low.
  */
-#define SPARE_PART 0.4
+#define SPARE_FRACTION 0.4
 
 /*
  * How much longer a cold run takes, in warm ones, for it to be worth a wait
@@ -43,7 +43,7 @@
 #define HOLD_GAIN 0.5
 
 /* Nodes that send to a cold server, so that its allowance isn't crumbs. */
-#define COLD_OWNERS 2
+#define COLD_SENDERS 2
 
 /* A failed request costs a further try: warm times at certain failure. */
 #define FAILURE_COST 4.0
@@ -55,7 +55,7 @@
 #define SUSPECT_COST 4.0
 
 /* The same for such a request, for each one that is there. */
-#define COMPANY_COST 1.0
+#define COLOCATION_COST 1.0
 
 static bool region_allowed(const struct route *route, const char *region)
 {
@@ -88,11 +88,11 @@
 			const struct service *service,
 			const struct backend *backend, uint64_t now_us)
 {
-	uint32_t most = (uint32_t)fmax(1.0, service->cold_per_s / COLD_OWNERS);
+	uint32_t most = (uint32_t)fmax(1.0, service->cold_per_s / COLD_SENDERS);
 
 	if (backend->cold_until_us <= now_us)
 		return true;
-	if (member_table_rank(chooser->members, backend->hash) >= COLD_OWNERS)
+	if (member_table_rank(chooser->members, backend->hash) >= COLD_SENDERS)
 		return false;
 	return backend_cold_sends(backend, now_us) < most;
 }
@@ -123,7 +123,7 @@
 		return CHOOSE_FORBIDDEN;
 	if (!cold_allows(chooser, query->service, backend, now_us))
 		return CHOOSE_COLD;
-	if (query->apart != CHOOSE_TOGETHER &&
+	if (query->apart != CHOOSE_ISOLATE_NONE &&
 	    has_suspect(chooser, backend, false, now_us))
 		return CHOOSE_SUSPECT;
 	if (!rate_limit_allows(&backend->limit, now_us))
@@ -163,8 +163,8 @@
  * another region seemed as near as it is over a kept connection, and requests
  * that left their region took a fifth of a second to arrive.
  */
-static double way_us(const struct chooser *chooser,
-		     const struct backend *backend)
+static double round_trip_us(const struct chooser *chooser,
+			    const struct backend *backend)
 {
 	double link_us = (double)chooser_link_us(chooser, backend->region);
 
@@ -187,8 +187,8 @@
 	candidate->near = !strcmp(backend->region, chooser->region);
 	candidate->warm = !query->has_object ||
 			  warmth_has(chooser->warmth, pair);
-	candidate->full = load >= slots + fmax(1.0, QUEUE_PART * slots);
-	candidate->spare = load < SPARE_PART * slots;
+	candidate->full = load >= slots + fmax(1.0, QUEUE_FRACTION * slots);
+	candidate->spare = load < SPARE_FRACTION * slots;
 	if (!(chooser->off & CHOOSE_HOLD_REQUESTS) && !candidate->warm &&
 	    load >= slots)
 		candidate->hold_us = hold_us(chooser, times, pair, now_us);
@@ -202,7 +202,7 @@
 			  fmax(queued_us, times->warm_us * backend->slowness);
 	candidate->work_us = work_us;
 	candidate->wait_us = wait_us;
-	candidate->expected_us = way_us(chooser, backend) + work_us +
+	candidate->expected_us = round_trip_us(chooser, backend) + work_us +
 				 fmax(wait_us, candidate->hold_us);
 	candidate->cost_us = candidate->expected_us +
 			     LOAD_COST * times->warm_us * load / slots +
@@ -211,8 +211,8 @@
 		candidate->cost_us += FAR_COST * times->warm_us;
 	if (has_suspect(chooser, backend, true, now_us))
 		candidate->cost_us += SUSPECT_COST * times->warm_us;
-	if (query->apart == CHOOSE_APART_ONLY)
-		candidate->cost_us += COMPANY_COST * times->warm_us * load;
+	if (query->apart == CHOOSE_ISOLATE_REQUIRED)
+		candidate->cost_us += COLOCATION_COST * times->warm_us * load;
 }
 
 static gint compare_scores(gconstpointer a, gconstpointer b)
@@ -227,8 +227,8 @@
 			   const struct choose_query *query,
 			   const struct service_times *times, uint64_t now_us)
 {
-	const GPtrArray *backends =
-		backend_table_of(chooser->backends, query->service->name);
+	const GPtrArray *backends = backend_table_by_service(
+		chooser->backends, query->service->name);
 	GArray *candidates = g_array_new(FALSE, TRUE, sizeof(struct candidate));
 	guint i;
 
@@ -249,7 +249,7 @@
 	return candidates;
 }
 
-bool candidates_keep_warm(const GArray *candidates,
+bool candidates_have_warm(const GArray *candidates,
 			  const struct service_times *times)
 {
 	guint i;
@@ -265,9 +265,10 @@
 	return false;
 }
 
-static bool only_rate_is_short(const struct chooser *chooser,
-			       const struct choose_query *query,
-			       const struct backend *backend, uint64_t now_us)
+static bool is_blocked_only_by_rate(const struct chooser *chooser,
+				    const struct choose_query *query,
+				    const struct backend *backend,
+				    uint64_t now_us)
 {
 	return rate_limit_is_limited(&backend->limit, now_us) &&
 	       candidate_blocked(chooser, query, backend, now_us) ==
@@ -275,38 +276,39 @@
 }
 
 /* Those that lend tokens are near the server. */
-static void add_token_way(const struct chooser *chooser,
-			  struct candidate *candidate)
+static void add_token_round_trip(const struct chooser *chooser,
+				 struct candidate *candidate)
 {
-	double way_us;
+	double round_trip_us;
 
 	if (candidate->near)
 		return;
-	way_us = (double)chooser_link_us(chooser, candidate->backend->region);
-	candidate->expected_us += way_us;
-	candidate->cost_us += way_us;
+	round_trip_us =
+		(double)chooser_link_us(chooser, candidate->backend->region);
+	candidate->expected_us += round_trip_us;
+	candidate->cost_us += round_trip_us;
 }
 
-struct backend *candidates_wanted(const struct chooser *chooser,
-				  const struct choose_query *query,
-				  const struct service_times *times,
-				  double cost_us, bool may_leave,
-				  uint64_t now_us)
+struct backend *candidates_best_limited(const struct chooser *chooser,
+					const struct choose_query *query,
+					const struct service_times *times,
+					double cost_us, bool may_leave,
+					uint64_t now_us)
 {
-	const GPtrArray *backends =
-		backend_table_of(chooser->backends, query->service->name);
+	const GPtrArray *backends = backend_table_by_service(
+		chooser->backends, query->service->name);
 	struct backend *wanted = NULL;
 	guint i;
 
 	for (i = 0; backends && i < backends->len; i++) {
 		struct candidate candidate = { .backend = backends->pdata[i] };
 
-		if (!only_rate_is_short(chooser, query, candidate.backend,
-					now_us) ||
+		if (!is_blocked_only_by_rate(chooser, query, candidate.backend,
+					     now_us) ||
 		    now_us < candidate.backend->limit.ask_again_us)
 			continue;
 		estimate(chooser, query, times, now_us, &candidate);
-		add_token_way(chooser, &candidate);
+		add_token_round_trip(chooser, &candidate);
 		if (candidate.full || candidate.cost_us >= cost_us ||
 		    (!candidate.near && !may_leave) ||
 		    candidate.expected_us >= (double)query->left_us)
--- a/packages/core/candidate.h
+++ b/packages/core/candidate.h
@@ -59,15 +59,15 @@
  * this, of another region only where the request may leave; NULL if there is
  * none. Those whose senders have just said that they have no token are out.
  */
-struct backend *candidates_wanted(const struct chooser *chooser,
-				  const struct choose_query *query,
-				  const struct service_times *times,
-				  double cost_us, bool may_leave,
-				  uint64_t now_us);
+struct backend *candidates_best_limited(const struct chooser *chooser,
+					const struct choose_query *query,
+					const struct service_times *times,
+					double cost_us, bool may_leave,
+					uint64_t now_us);
 
 /* Whether some server has the object warm and isn't so slow that it's no use.
  */
-bool candidates_keep_warm(const GArray *candidates,
+bool candidates_have_warm(const GArray *candidates,
 			  const struct service_times *times);
 
 #ifdef __cplusplus
--- a/packages/core/choose.c
+++ b/packages/core/choose.c
@@ -12,10 +12,10 @@
  * until then the queues of a start grow past the objective; one or two say
  * little.
  */
-#define TRUST_SAMPLES 5
+#define MIN_SAMPLES 5
 
 /* Part of requests that may warm one more server for their object. */
-#define TRIAL_PART 0.005
+#define TRIAL_FRACTION 0.005
 
 /*
  * Nodes of a region that give a server that joined its first request. Were it
@@ -34,16 +34,17 @@
 /* When to come back to a service that has no server yet. */
 #define RETRY_UNKNOWN_US (1 * US_PER_S)
 
-static bool keeps_warm(const struct chooser *chooser, const GArray *candidates,
-		       const struct service_times *times)
+static bool avoids_cold_runs(const struct chooser *chooser,
+			     const GArray *candidates,
+			     const struct service_times *times)
 {
 	return !(chooser->off & CHOOSE_KEEP_WARM) &&
-	       candidates_keep_warm(candidates, times);
+	       candidates_have_warm(candidates, times);
 }
 
-/* The cheapest in this region or out of it; see candidates_keep_warm(). */
-static const struct candidate *least(const GArray *candidates, bool near,
-				     bool kept_warm)
+/* The cheapest in this region or out of it; see candidates_have_warm(). */
+static const struct candidate *find_cheapest(const GArray *candidates,
+					     bool near, bool avoid_cold)
 {
 	const struct candidate *best = NULL;
 	guint i;
@@ -54,7 +55,7 @@
 
 		if (candidate->near != near || candidate->full)
 			continue;
-		if (kept_warm && !candidate->warm && !candidate->spare &&
+		if (avoid_cold && !candidate->warm && !candidate->spare &&
 		    candidate->hold_us <= 0)
 			continue;
 		if (!best || candidate->cost_us < best->cost_us)
@@ -73,8 +74,9 @@
 }
 
 /* A server of this region that joined and is this node's to begin with. */
-static struct candidate *newcomer(const struct chooser *chooser,
-				  const GArray *candidates, uint64_t now_us)
+static struct candidate *find_newcomer(const struct chooser *chooser,
+				       const GArray *candidates,
+				       uint64_t now_us)
 {
 	guint i;
 
@@ -93,7 +95,7 @@
  * A server of this region that isn't warm for the object while another is, and
  * has room: without trials a server that joins would never be chosen.
  */
-static struct candidate *unwarmed(const GArray *candidates)
+static struct candidate *find_unwarmed(const GArray *candidates)
 {
 	guint i;
 
@@ -114,11 +116,12 @@
 				     const struct candidate *best,
 				     uint64_t now_us)
 {
-	struct candidate *tried = newcomer(chooser, candidates, now_us);
+	struct candidate *tried = find_newcomer(chooser, candidates, now_us);
 
-	chooser->trial_credit = fmin(1.0, chooser->trial_credit + TRIAL_PART);
+	chooser->trial_credit =
+		fmin(1.0, chooser->trial_credit + TRIAL_FRACTION);
 	if (!tried && chooser->trial_credit >= 1.0 && best->warm) {
-		tried = unwarmed(candidates);
+		tried = find_unwarmed(candidates);
 		if (tried)
 			chooser->trial_credit = 0;
 	}
@@ -133,10 +136,10 @@
  * what exceeds this region's part of the slots leaves it from the start. A
  * share that began at none would need ten seconds to get there in its steps.
  */
-static double first_share(const struct chooser *chooser, const char *service)
+static double initial_share(const struct chooser *chooser, const char *service)
 {
 	const GPtrArray *backends =
-		backend_table_of(chooser->backends, service);
+		backend_table_by_service(chooser->backends, service);
 	GHashTable *regions = g_hash_table_new(g_str_hash, g_str_equal);
 	double near = 0;
 	double all = 0;
@@ -162,13 +165,13 @@
 
 	if (!flow) {
 		flow = g_new0(struct region_flow, 1);
-		region_flow_init(flow, first_share(chooser, service));
+		region_flow_init(flow, initial_share(chooser, service));
 		g_hash_table_insert(chooser->flows, g_strdup(service), flow);
 	}
 	return flow;
 }
 
-static bool region_is_disturbed(const struct chooser *chooser, uint64_t now_us)
+static bool lost_server_lately(const struct chooser *chooser, uint64_t now_us)
 {
 	uint64_t lost_us = chooser->backends->disturbed_us;
 
@@ -185,7 +188,7 @@
 		.has_object = query->has_object &&
 			      !(chooser->off & CHOOSE_LEAVE_BY_OBJECT),
 		.object = query->object,
-		.free = region_is_disturbed(chooser, now_us),
+		.free = lost_server_lately(chooser, now_us),
 	};
 }
 
@@ -194,9 +197,11 @@
 				    const struct service_times *times,
 				    const GArray *candidates, uint64_t now_us)
 {
-	bool kept_warm = keeps_warm(chooser, candidates, times);
-	const struct candidate *near = least(candidates, true, kept_warm);
-	const struct candidate *far = least(candidates, false, kept_warm);
+	bool avoid_cold = avoids_cold_runs(chooser, candidates, times);
+	const struct candidate *near =
+		find_cheapest(candidates, true, avoid_cold);
+	const struct candidate *far =
+		find_cheapest(candidates, false, avoid_cold);
 	struct region_flow *flow = flow_of(chooser, query->service->name);
 	const struct region_flow_request request = flow_request(
 		chooser, query, far && (!near || far->cost_us < near->cost_us),
@@ -234,9 +239,9 @@
 	return candidate->warm ? CHOOSE_WARM : CHOOSE_RANK;
 }
 
-static bool is_taken(const struct chooser *chooser,
-		     const struct choose_query *query,
-		     const struct candidate *best)
+static bool is_admitted(const struct chooser *chooser,
+			const struct choose_query *query,
+			const struct candidate *best)
 {
 	const struct admission_request request = {
 		.expected_us = best->expected_us,
@@ -253,11 +258,12 @@
 }
 
 /* What servers that would be used but for their rates take a second. */
-static double short_rate(const struct chooser *chooser,
-			 const struct choose_query *query, uint64_t now_us)
+static double blocked_rate_per_s(const struct chooser *chooser,
+				 const struct choose_query *query,
+				 uint64_t now_us)
 {
-	const GPtrArray *backends =
-		backend_table_of(chooser->backends, query->service->name);
+	const GPtrArray *backends = backend_table_by_service(
+		chooser->backends, query->service->name);
 	double per_s = 0;
 	guint i;
 
@@ -286,9 +292,9 @@
 }
 
 /* Each node gives out its part of the rate to those who come back. */
-static uint64_t return_us(struct chooser *chooser,
-			  const struct choose_query *query, double per_s,
-			  uint64_t now_us)
+static uint64_t rate_retry_after_us(struct chooser *chooser,
+				    const struct choose_query *query,
+				    double per_s, uint64_t now_us)
 {
 	uint32_t nodes = member_table_count(chooser->members);
 
@@ -300,7 +306,8 @@
 static void refuse(struct chooser *chooser, const struct choose_query *query,
 		   bool has_candidates, uint64_t now_us, struct choice *choice)
 {
-	double per_s = has_candidates ? 0 : short_rate(chooser, query, now_us);
+	double per_s =
+		has_candidates ? 0 : blocked_rate_per_s(chooser, query, now_us);
 
 	if (has_candidates) {
 		choice->reason = CHOOSE_NONE_FREE;
@@ -309,7 +316,7 @@
 	} else if (per_s > 0) {
 		choice->reason = CHOOSE_NO_RATE;
 		choice->retry_after_us =
-			return_us(chooser, query, per_s, now_us);
+			rate_retry_after_us(chooser, query, per_s, now_us);
 	} else {
 		choice->reason = CHOOSE_NONE_KNOWN;
 		choice->retry_after_us = RETRY_UNKNOWN_US;
@@ -328,7 +335,7 @@
 
 	memset(choice, 0, sizeof(*choice));
 	best = pick(chooser, query, times, candidates, now_us);
-	choice->wanted = candidates_wanted(
+	choice->wanted = candidates_best_limited(
 		chooser, query, times, best ? best->cost_us : INFINITY,
 		may_leave(chooser, query, best, now_us), now_us);
 	if (best && best->hold_us > 0 && !best->trial &&
@@ -336,8 +343,8 @@
 		choice->reason = CHOOSE_HOLD;
 		choice->hold_us =
 			(uint64_t)fmin(best->hold_us, CANDIDATE_HOLD_STEP_US);
-	} else if (best && (times->samples < TRUST_SAMPLES ||
-			    is_taken(chooser, query, best))) {
+	} else if (best && (times->samples < MIN_SAMPLES ||
+			    is_admitted(chooser, query, best))) {
 		choice->backend = best->backend;
 		choice->expected_us = best->expected_us;
 		choice->work_us = best->work_us;
@@ -356,9 +363,9 @@
 	struct choose_query together = *query;
 
 	choose_among_all(chooser, query, now_us, choice);
-	if (choice->backend || query->apart != CHOOSE_APART)
+	if (choice->backend || query->apart != CHOOSE_ISOLATE_PREFERRED)
 		return;
-	together.apart = CHOOSE_TOGETHER;
+	together.apart = CHOOSE_ISOLATE_NONE;
 	choose_among_all(chooser, &together, now_us, choice);
 }
 
@@ -366,8 +373,8 @@
 			const struct choose_query *query, uint64_t now_us,
 			GArray *views)
 {
-	const GPtrArray *backends =
-		backend_table_of(chooser->backends, query->service->name);
+	const GPtrArray *backends = backend_table_by_service(
+		chooser->backends, query->service->name);
 	guint i;
 
 	for (i = 0; backends && i < backends->len; i++) {
@@ -388,9 +395,11 @@
 				    query->route->target_us);
 	GArray *candidates = candidates_collect(chooser, query, times, now_us);
 	GArray *views = g_array_new(FALSE, TRUE, sizeof(struct choose_view));
-	bool kept_warm = keeps_warm(chooser, candidates, times);
-	const struct candidate *near = least(candidates, true, kept_warm);
-	const struct candidate *far = least(candidates, false, kept_warm);
+	bool avoid_cold = avoids_cold_runs(chooser, candidates, times);
+	const struct candidate *near =
+		find_cheapest(candidates, true, avoid_cold);
+	const struct candidate *far =
+		find_cheapest(candidates, false, avoid_cold);
 	guint i;
 
 	for (i = 0; i < candidates->len; i++) {
--- a/packages/core/choose.h
+++ b/packages/core/choose.h
@@ -57,10 +57,10 @@
 };
 
 /* Whether a request keeps away from servers where suspects are at work. */
-enum choose_apart {
-	CHOOSE_TOGETHER, /* as far as the costs say */
-	CHOOSE_APART, /* if there is another server */
-	CHOOSE_APART_ONLY, /* and from others that are at work */
+enum choose_isolation {
+	CHOOSE_ISOLATE_NONE, /* as far as the costs say */
+	CHOOSE_ISOLATE_PREFERRED, /* if there is another server */
+	CHOOSE_ISOLATE_REQUIRED, /* and from others that are at work */
 };
 
 struct choose_query {
@@ -73,7 +73,7 @@
 	uint64_t patience_us; /* how long its caller waits; 0: unknown */
 	const struct backend *tried[CHOOSE_MAX_TRIED];
 	uint32_t tried_count;
-	enum choose_apart apart; /* it may crash its server */
+	enum choose_isolation apart; /* it may crash its server */
 };
 
 enum choose_reason {
@@ -158,14 +158,14 @@
 		    const struct choice *choice);
 
 /*
- * The chosen server gave a good answer after took_us, of which way_us was the
- * way there and back. Neither that nor the wait for a slot counts as its work:
- * where the wait did, all servers of a busy service seemed slow, and what was
- * expected of them too long by the wait.
+ * The chosen server gave a good answer after took_us, of which round_trip_us
+ * was the way there and back. Neither that nor the wait for a slot counts as
+ * its work: where the wait did, all servers of a busy service seemed slow, and
+ * what was expected of them too long by the wait.
  */
 void chooser_learn(struct chooser *chooser, const struct choose_query *query,
 		   const struct choice *choice, uint64_t took_us,
-		   uint64_t way_us, uint64_t now_us);
+		   uint64_t round_trip_us, uint64_t now_us);
 
 const char *choose_reason_name(enum choose_reason reason);
 const char *choose_block_name(enum choose_block block);
--- a/packages/core/chooser.c
+++ b/packages/core/chooser.c
@@ -6,7 +6,7 @@
 #include "core/duration.h"
 
 /* Round trip to another region before any was measured: a continent's width. */
-#define LINK_PRIOR_US (60 * US_PER_MS)
+#define LINK_DEFAULT_US (60 * US_PER_MS)
 
 /* Within a region, where nothing was measured. */
 #define LINK_NEAR_US (1 * US_PER_MS)
@@ -17,14 +17,14 @@
 /* Weight of one answer in a service's times and in a server's slowness. */
 #define TIMES_WEIGHT 0.05
 #define SLOWNESS_WEIGHT 0.15
-#define SLOWNESS_LEAST 0.4
-#define SLOWNESS_MOST 20.0
+#define SLOWNESS_MIN 0.4
+#define SLOWNESS_MAX 20.0
 
 /*
  * Part of the time to an answer that counts as work at least: the wait that was
  * expected for a slot may be more than it was.
  */
-#define WORK_PART_LEAST 0.2
+#define WORK_FRACTION_MIN 0.2
 
 struct link_time {
 	double round_trip_us;
@@ -77,7 +77,7 @@
 
 	if (link)
 		return (uint64_t)link->round_trip_us;
-	return strcmp(region, chooser->region) ? LINK_PRIOR_US : LINK_NEAR_US;
+	return strcmp(region, chooser->region) ? LINK_DEFAULT_US : LINK_NEAR_US;
 }
 
 void chooser_began(struct chooser *chooser, const struct choose_query *query,
@@ -101,7 +101,7 @@
 
 void chooser_learn(struct chooser *chooser, const struct choose_query *query,
 		   const struct choice *choice, uint64_t took_us,
-		   uint64_t way_us, uint64_t now_us)
+		   uint64_t round_trip_us, uint64_t now_us)
 {
 	struct backend *backend = choice->backend;
 	struct service_times *times =
@@ -109,9 +109,9 @@
 				    query->route->target_us);
 	struct warm_pair pair = { backend->life, query->object };
 	double *usual_us = choice->warm ? &times->warm_us : &times->cold_us;
-	double service_us =
-		fmax((double)took_us - ((double)way_us + choice->wait_us),
-		     WORK_PART_LEAST * (double)took_us);
+	double service_us = fmax(
+		(double)took_us - ((double)round_trip_us + choice->wait_us),
+		WORK_FRACTION_MIN * (double)took_us);
 	double ratio = service_us / *usual_us;
 
 	if (query->has_object)
@@ -120,7 +120,7 @@
 		return;
 	backend->slowness += SLOWNESS_WEIGHT * (ratio - backend->slowness);
 	backend->slowness =
-		CLAMP(backend->slowness, SLOWNESS_LEAST, SLOWNESS_MOST);
+		CLAMP(backend->slowness, SLOWNESS_MIN, SLOWNESS_MAX);
 	*usual_us += TIMES_WEIGHT * (service_us - *usual_us);
 	times->samples++;
 }
--- a/packages/core/duration.c
+++ b/packages/core/duration.c
@@ -3,7 +3,7 @@
 #include <glib.h>
 #include <string.h>
 
-#define MOST_US (86400 * US_PER_S)
+#define MAX_DURATION_US (86400 * US_PER_S)
 
 bool duration_parse(const char *text, uint64_t *span_us)
 {
@@ -19,7 +19,7 @@
 		value *= (double)US_PER_S;
 	else
 		return false;
-	if (!(value >= 0 && value <= (double)MOST_US))
+	if (!(value >= 0 && value <= (double)MAX_DURATION_US))
 		return false;
 	*span_us = (uint64_t)(value + 0.5);
 	return true;
--- a/packages/core/member_table.c
+++ b/packages/core/member_table.c
@@ -68,8 +68,8 @@
 		g_hash_table_remove(table->by_name, name);
 }
 
-bool member_heard(struct member *member, uint64_t beat, bool leaving,
-		  uint64_t now_us)
+bool member_note_heartbeat(struct member *member, uint64_t beat, bool leaving,
+			   uint64_t now_us)
 {
 	if (beat <= member->beat)
 		return false;
@@ -86,7 +86,8 @@
 		return false;
 	if (member == table->self)
 		return true;
-	return member->heard_us && now_us - member->heard_us < MEMBER_SILENT_US;
+	return member->heard_us &&
+	       now_us - member->heard_us < MEMBER_TIMEOUT_US;
 }
 
 uint32_t member_table_count(const struct member_table *table)
@@ -114,14 +115,14 @@
 
 static uint32_t collect(const struct member_table *table, const char *region,
 			uint64_t now_us, const struct member **entries,
-			uint32_t most)
+			uint32_t max)
 {
 	GHashTableIter iter;
 	uint32_t count = 0;
 	gpointer value;
 
 	g_hash_table_iter_init(&iter, table->by_name);
-	while (count < most && g_hash_table_iter_next(&iter, NULL, &value)) {
+	while (count < max && g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct member *member = value;
 
 		if (!member->front.port ||
@@ -135,11 +136,11 @@
 
 uint32_t member_table_entries(const struct member_table *table,
 			      const char *region, uint64_t now_us,
-			      const struct member **entries, uint32_t most)
+			      const struct member **entries, uint32_t max)
 {
-	uint32_t count = collect(table, region, now_us, entries, most);
+	uint32_t count = collect(table, region, now_us, entries, max);
 
-	return count ? count : collect(table, NULL, now_us, entries, most);
+	return count ? count : collect(table, NULL, now_us, entries, max);
 }
 
 static bool is_near(const struct member_table *table,
@@ -149,7 +150,8 @@
 }
 
 /* Whether the one reads for the region rather than the other. */
-static bool reads_before(const struct member *one, const struct member *other)
+static bool is_preferred_reader(const struct member *one,
+				const struct member *other)
 {
 	if (one->link_mbps != other->link_mbps)
 		return one->link_mbps > other->link_mbps;
@@ -169,23 +171,23 @@
 
 		if (is_near(table, member) &&
 		    member_serves(table, member, now_us) &&
-		    (!reader || reads_before(member, reader)))
+		    (!reader || is_preferred_reader(member, reader)))
 			reader = member;
 	}
 	return reader ? reader : table->self;
 }
 
-static bool may_live(const struct member_table *table,
-		     const struct member *member, uint64_t now_us)
+static bool may_be_live(const struct member_table *table,
+			const struct member *member, uint64_t now_us)
 {
 	/* One that starts as well says for a moment that it takes nothing. */
 	bool is_fresh = member->known_us &&
-			now_us - member->known_us < MEMBER_SILENT_US;
+			now_us - member->known_us < MEMBER_TIMEOUT_US;
 
 	return is_fresh || member_serves(table, member, now_us);
 }
 
-bool member_table_reads(const struct member_table *table, uint64_t now_us)
+bool member_table_is_reader(const struct member_table *table, uint64_t now_us)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -195,14 +197,15 @@
 		const struct member *member = value;
 
 		if (member != table->self && is_near(table, member) &&
-		    may_live(table, member, now_us) &&
-		    (table->self->leaving || reads_before(member, table->self)))
+		    may_be_live(table, member, now_us) &&
+		    (table->self->leaving ||
+		     is_preferred_reader(member, table->self)))
 			return false;
 	}
 	return true;
 }
 
-uint32_t member_table_read_rank(const struct member_table *table)
+uint32_t member_table_reader_rank(const struct member_table *table)
 {
 	GHashTableIter iter;
 	uint32_t rank = 0;
@@ -210,30 +213,31 @@
 
 	g_hash_table_iter_init(&iter, table->by_name);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		if (is_near(table, value) && reads_before(value, table->self))
+		if (is_near(table, value) &&
+		    is_preferred_reader(value, table->self))
 			rank++;
 	return rank;
 }
 
 /* Put it at its place among the first, of which the last may fall out. */
 static uint32_t insert_reader(const struct member **first, uint32_t count,
-			      uint32_t most, const struct member *member)
+			      uint32_t max, const struct member *member)
 {
 	uint32_t at;
 
-	if (count < most)
+	if (count < max)
 		count++;
-	else if (!reads_before(member, first[count - 1]))
+	else if (!is_preferred_reader(member, first[count - 1]))
 		return count;
-	for (at = count - 1; at > 0 && reads_before(member, first[at - 1]);
-	     at--)
+	for (at = count - 1;
+	     at > 0 && is_preferred_reader(member, first[at - 1]); at--)
 		first[at] = first[at - 1];
 	first[at] = member;
 	return count;
 }
 
 uint32_t member_table_first_readers(const struct member_table *table,
-				    const struct member **first, uint32_t most)
+				    const struct member **first, uint32_t max)
 {
 	GHashTableIter iter;
 	uint32_t count = 0;
@@ -245,13 +249,13 @@
 
 		if (member != table->self && member->peer.port &&
 		    is_near(table, member))
-			count = insert_reader(first, count, most, member);
+			count = insert_reader(first, count, max, member);
 	}
 	return count;
 }
 
-static bool lives_in(const struct member_table *table, const char *region,
-		     uint64_t now_us)
+static bool has_serving_member(const struct member_table *table,
+			       const char *region, uint64_t now_us)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -267,8 +271,9 @@
 	return false;
 }
 
-const struct member *member_table_lost(const struct member_table *table,
-				       uint64_t forget_us, uint64_t now_us)
+const struct member *member_table_find_expired(const struct member_table *table,
+					       uint64_t forget_us,
+					       uint64_t now_us)
 {
 	const char *own_region = table->self->region;
 	GHashTableIter iter;
@@ -284,7 +289,7 @@
 		if (member == table->self || now_us - since_us < forget_us)
 			continue;
 		if (!strcmp(member->region, own_region) ||
-		    !lives_in(table, member->region, now_us))
+		    !has_serving_member(table, member->region, now_us))
 			return member;
 	}
 	return NULL;
@@ -383,25 +388,25 @@
 	return order;
 }
 
-const struct member *member_table_region_draw(const struct member_table *table,
+const struct member *member_table_region_pick(const struct member_table *table,
 					      const char *region, uint32_t hash,
-					      uint32_t first, uint32_t but,
+					      uint32_t first, uint32_t excluded,
 					      double spread, uint64_t now_us)
 {
 	GArray *order = region_order(table, region, hash);
 	guint count = MIN(first, order->len);
-	const struct member *drawn = NULL;
+	const struct member *picked = NULL;
 	guint i;
 
-	for (i = 0; i < count && !drawn; i++) {
+	for (i = 0; i < count && !picked; i++) {
 		guint at = (i + (guint)(spread * count)) % count;
 		const struct member *member =
 			g_array_index(order, struct scored, at).member;
 
-		if (member != table->self && member->hash != but &&
+		if (member != table->self && member->hash != excluded &&
 		    member->peer.port && member_serves(table, member, now_us))
-			drawn = member;
+			picked = member;
 	}
 	g_array_unref(order);
-	return drawn;
+	return picked;
 }
--- a/packages/core/member_table.h
+++ b/packages/core/member_table.h
@@ -3,7 +3,7 @@
  *
  * The platform's table says which nodes there are; beats that nodes pass on to
  * each other say which of them live. A member whose beat number hasn't risen
- * for MEMBER_SILENT_US counts as dead until it does. Not thread-safe.
+ * for MEMBER_TIMEOUT_US counts as dead until it does. Not thread-safe.
  */
 #ifndef CORE_MEMBER_TABLE_H
 #define CORE_MEMBER_TABLE_H
@@ -23,7 +23,7 @@
  * for long; six beats of 500 ms, so that two lost datagrams in a row on the way
  * over another member don't remove a live one.
  */
-#define MEMBER_SILENT_US 3000000ull
+#define MEMBER_TIMEOUT_US 3000000ull
 
 struct member {
 	char *name;
@@ -57,8 +57,8 @@
 void member_table_remove(struct member_table *table, const char *name);
 
 /* Take a beat over; whether it was news. */
-bool member_heard(struct member *member, uint64_t beat, bool leaving,
-		  uint64_t now_us);
+bool member_note_heartbeat(struct member *member, uint64_t beat, bool leaving,
+			   uint64_t now_us);
 
 /* Whether it takes requests: heard of lately and not leaving. */
 bool member_serves(const struct member_table *table,
@@ -76,7 +76,7 @@
  */
 uint32_t member_table_entries(const struct member_table *table,
 			      const char *region, uint64_t now_us,
-			      const struct member **entries, uint32_t most);
+			      const struct member **entries, uint32_t max);
 
 /*
  * The member of one's own region that reads the platform's tables for all of
@@ -89,25 +89,26 @@
 
 /*
  * Whether oneself reads for the region. A node that has just started has heard
- * nobody yet: members that it has known for less than MEMBER_SILENT_US count as
- * live, or all that start together would take themselves for the reader.
+ * nobody yet: members that it has known for less than MEMBER_TIMEOUT_US count
+ * as live, or all that start together would take themselves for the reader.
  */
-bool member_table_reads(const struct member_table *table, uint64_t now_us);
+bool member_table_is_reader(const struct member_table *table, uint64_t now_us);
 
 /* How many of one's own region, dead ones too, come before oneself in that. */
-uint32_t member_table_read_rank(const struct member_table *table);
+uint32_t member_table_reader_rank(const struct member_table *table);
 
 /* The first others of one's own region in that order; returns how many. */
 uint32_t member_table_first_readers(const struct member_table *table,
-				    const struct member **first, uint32_t most);
+				    const struct member **first, uint32_t max);
 
 /*
  * A member that this node, which reads for its region, should strike from the
  * platform's table: silent for forget_us, and of this region or of one where
  * nobody lives. NULL if there is none.
  */
-const struct member *member_table_lost(const struct member_table *table,
-				       uint64_t forget_us, uint64_t now_us);
+const struct member *member_table_find_expired(const struct member_table *table,
+					       uint64_t forget_us,
+					       uint64_t now_us);
 
 /*
  * Place of oneself in the rendezvous order of all known members for this hash,
@@ -133,9 +134,9 @@
  * One of the first so many of that order that lives and is neither oneself nor
  * of this hash, drawn by spread, 0 to 1; NULL if none does.
  */
-const struct member *member_table_region_draw(const struct member_table *table,
+const struct member *member_table_region_pick(const struct member_table *table,
 					      const char *region, uint32_t hash,
-					      uint32_t first, uint32_t but,
+					      uint32_t first, uint32_t excluded,
 					      double spread, uint64_t now_us);
 
 #ifdef __cplusplus
--- a/packages/core/rate_limit.c
+++ b/packages/core/rate_limit.c
@@ -182,7 +182,7 @@
 	uint32_t nodes = member_table_region_count(members, region);
 	double per_s = rate_limit_in_force(limit, now_us);
 
-	return member_table_region_draw(members, region, hash,
+	return member_table_region_pick(members, region, hash,
 					count_senders(per_s, nodes),
 					limit->refused_by, spread, now_us);
 }
--- a/packages/core/retry.h
+++ b/packages/core/retry.h
@@ -21,10 +21,10 @@
 	SEND_BROKEN, /* no whole answer: it may have run */
 };
 
-enum retry_step {
+enum retry_decision {
 	RETRY_FREE, /* try another: nothing arrived anywhere */
-	RETRY_PAID, /* try another if the budget of extra requests allows */
-	RETRY_NOT, /* answer now */
+	RETRY_BUDGETED, /* try another if the budget of extra requests allows */
+	RETRY_NONE, /* answer now */
 };
 
 struct retry_state {
@@ -39,8 +39,8 @@
 /* Tries that may fail to connect before the request is refused. */
 #define RETRY_MAX_UNREACHABLE 3
 
-enum retry_step retry_after(const struct retry_state *state,
-			    enum send_outcome outcome);
+enum retry_decision retry_decide(const struct retry_state *state,
+				 enum send_outcome outcome);
 
 #ifdef __cplusplus
 }
--- a/packages/core/suspect_evidence.c
+++ b/packages/core/suspect_evidence.c
@@ -22,7 +22,7 @@
 		     const struct suspect_crash *crash)
 {
 	const struct backend *backend =
-		backend_table_find_life(backends, crash->life);
+		backend_table_find_incarnation(backends, crash->life);
 
 	return backend && backend->alive_us > crash->at_us &&
 	       backend->unreachable_us <= crash->at_us;
@@ -33,7 +33,7 @@
 			struct suspect_crash *crash)
 {
 	const struct backend *backend =
-		backend_table_find_life(backends, crash->life);
+		backend_table_find_incarnation(backends, crash->life);
 
 	if (backend)
 		crash->domain = hash_text(backend->domain);
--- a/packages/core/warmth.c
+++ b/packages/core/warmth.c
@@ -3,7 +3,7 @@
 #include "core/duration.h"
 
 /* Pairs that wait to be told, at most; more are found out by trying. */
-#define NEWS_MOST 4096
+#define MAX_UPDATES 4096
 
 /*
  * How much later than expected a first request may end before its pair counts
@@ -65,8 +65,9 @@
 {
 	warmth->seen = g_hash_table_new(hash_key, g_direct_equal);
 	warmth->warming = g_hash_table_new(hash_key, g_direct_equal);
-	warmth->news = g_array_new(FALSE, FALSE, sizeof(struct warm_news));
-	warmth->far_news = g_array_new(FALSE, FALSE, sizeof(struct warm_news));
+	warmth->news = g_array_new(FALSE, FALSE, sizeof(struct warm_update));
+	warmth->far_news =
+		g_array_new(FALSE, FALSE, sizeof(struct warm_update));
 }
 
 void warmth_release(struct warmth *warmth)
@@ -77,22 +78,22 @@
 	g_array_unref(warmth->far_news);
 }
 
-static void add_news(GArray *news, struct warm_pair pair, uint64_t ready_us)
+static void add_update(GArray *news, struct warm_pair pair, uint64_t ready_us)
 {
-	const struct warm_news one = { pair, ready_us };
+	const struct warm_update one = { pair, ready_us };
 
-	if (news->len < NEWS_MOST)
+	if (news->len < MAX_UPDATES)
 		g_array_append_val(news, one);
 }
 
-static void tell(struct warmth *warmth, struct warm_pair pair,
-		 enum warm_source source, uint64_t ready_us)
+static void queue_update(struct warmth *warmth, struct warm_pair pair,
+			 enum warm_source source, uint64_t ready_us)
 {
-	if (source == WARM_TOLD)
+	if (source == WARM_RECEIVED)
 		return;
-	add_news(warmth->news, pair, ready_us);
+	add_update(warmth->news, pair, ready_us);
 	if (source == WARM_OWN)
-		add_news(warmth->far_news, pair, ready_us);
+		add_update(warmth->far_news, pair, ready_us);
 }
 
 void warmth_note(struct warmth *warmth, struct warm_pair pair,
@@ -106,7 +107,7 @@
 			    (gpointer)(now_us / US_PER_MS + 1));
 	g_hash_table_remove(warmth->warming, pair_key(pair));
 	if (!known)
-		tell(warmth, pair, source, 0);
+		queue_update(warmth, pair, source, 0);
 }
 
 void warmth_begin(struct warmth *warmth, struct warm_pair pair,
@@ -119,7 +120,7 @@
 		g_hash_table_remove_all(warmth->warming);
 	g_hash_table_insert(warmth->warming, pair_key(pair),
 			    (gpointer)(ready_us / US_PER_MS + 1));
-	tell(warmth, pair, source, ready_us);
+	queue_update(warmth, pair, source, ready_us);
 }
 
 void warmth_abandon(struct warmth *warmth, struct warm_pair pair)
--- a/packages/core/warmth.h
+++ b/packages/core/warmth.h
@@ -28,12 +28,12 @@
 /* Where a node has a pair from, and so whom it tells of it. */
 enum warm_source {
 	WARM_OWN, /* an answer of its own: tell all */
-	WARM_PASSED_ON, /* a node for which it passes on: tell the region */
-	WARM_TOLD, /* another node: nobody */
+	WARM_RELAYED, /* a node for which it passes on: tell the region */
+	WARM_RECEIVED, /* another node: nobody */
 };
 
 /* What is to be told of a pair. */
-struct warm_news {
+struct warm_update {
 	struct warm_pair pair;
 	uint64_t ready_us; /* when it will be warm; 0: it is */
 };
@@ -41,7 +41,7 @@
 struct warmth {
 	GHashTable *seen; /* pair as 64 bits -> clock's ms */
 	GHashTable *warming; /* pair as 64 bits -> clock's ms when it's ready */
-	GArray *news; /* of struct warm_news, not yet told in the region */
+	GArray *news; /* of struct warm_update, not yet told in the region */
 	GArray *far_news; /* not yet told to other regions */
 };
 
--- a/packages/edge/admin_show.c
+++ b/packages/edge/admin_show.c
@@ -238,7 +238,7 @@
 {
 	static const struct service_times none = { .samples = 0 };
 	const GPtrArray *backends =
-		backend_table_of(edge->backends, service->name);
+		backend_table_by_service(edge->backends, service->name);
 	const struct service_times *times =
 		g_hash_table_lookup(edge->backends->times, service->name);
 	const struct extra_budget *budget =
--- a/packages/edge/admin_suspects.c
+++ b/packages/edge/admin_suspects.c
@@ -29,7 +29,7 @@
 	for (i = 0; i < suspect->crash_count; i++) {
 		uint32_t life = suspect->crashes[i].life;
 		const struct backend *backend =
-			backend_table_find_life(edge->backends, life);
+			backend_table_find_incarnation(edge->backends, life);
 
 		if (i)
 			g_string_append(text, " ");
--- a/packages/edge/backend_row.c
+++ b/packages/edge/backend_row.c
@@ -31,7 +31,7 @@
 
 void backend_row_take(struct edge *edge, const struct beat_row *row)
 {
-	const struct backend_facts facts = {
+	const struct backend_info facts = {
 		.id = row->id,
 		.service = row->service,
 		.address = row->address,
--- a/packages/edge/exchange.c
+++ b/packages/edge/exchange.c
@@ -329,13 +329,13 @@
 static bool may_retry(struct exchange *exchange, enum send_outcome outcome)
 {
 	exchange->retry.left_us = exchange_left_us(exchange);
-	switch (retry_after(&exchange->retry, outcome)) {
+	switch (retry_decide(&exchange->retry, outcome)) {
 	case RETRY_FREE:
 		return true;
-	case RETRY_PAID:
+	case RETRY_BUDGETED:
 		return edge_take_extra(exchange->edge,
 				       exchange->query.service->name);
-	case RETRY_NOT:
+	case RETRY_NONE:
 		break;
 	}
 	return false;
@@ -459,8 +459,8 @@
 	unsigned waiting;
 
 	if (load && sscanf(load, "%u,%u", &running, &waiting) == 2)
-		backend_reported(exchange->choice.backend, running, waiting,
-				 exchange_now_us(exchange));
+		backend_note_load(exchange->choice.backend, running, waiting,
+				  exchange_now_us(exchange));
 }
 
 static bool says_not_executed(const struct exchange *exchange,
--- a/packages/edge/gossip.c
+++ b/packages/edge/gossip.c
@@ -52,7 +52,8 @@
 		if (!member || member == edge->members->self)
 			continue;
 		served = member_serves(edge->members, member, now_us);
-		if (member_heard(member, life->number, life->leaving, now_us) &&
+		if (member_note_heartbeat(member, life->number, life->leaving,
+					  now_us) &&
 		    served == life->leaving)
 			note_state(edge, member);
 	}
@@ -71,8 +72,8 @@
 		member_table_find_hash(edge->members, beat->lives[0].member);
 
 	if (sender && strcmp(sender->region, edge->settings.region) != 0)
-		return WARM_PASSED_ON;
-	return WARM_TOLD;
+		return WARM_RELAYED;
+	return WARM_RECEIVED;
 }
 
 static void take_pair(struct warmth *warmth, const struct beat_pair *pair,
@@ -95,14 +96,15 @@
 	for (i = 0; i < beat->pair_count; i++)
 		take_pair(&edge->warmth, &beat->pairs[i], source, now_us);
 	if (beat->load_count)
-		backend_table_forget_words(edge->backends, sender);
+		backend_table_clear_peer_loads(edge->backends, sender);
 	for (i = 0; i < beat->load_count; i++) {
-		struct backend *backend = backend_table_find_life(
+		struct backend *backend = backend_table_find_incarnation(
 			edge->backends, beat->loads[i].backend);
 
 		if (backend)
-			backend_told(backend, sender, beat->loads[i].in_flight,
-				     now_us);
+			backend_note_peer_load(backend, sender,
+					       beat->loads[i].in_flight,
+					       now_us);
 	}
 }
 
--- a/packages/edge/gossip_send.c
+++ b/packages/edge/gossip_send.c
@@ -79,7 +79,7 @@
 }
 
 /* When the server will be warm; 0: it is, or must be by now. */
-static uint16_t ready_ms(const struct warm_news *news, uint64_t now_us)
+static uint16_t ready_ms(const struct warm_update *news, uint64_t now_us)
 {
 	if (news->ready_us <= now_us)
 		return 0;
@@ -97,8 +97,8 @@
 
 	for (taken = 0; taken < news->len && beat->pair_count < BEAT_MAX_PAIRS;
 	     taken++) {
-		const struct warm_news *one =
-			&g_array_index(news, struct warm_news, taken);
+		const struct warm_update *one =
+			&g_array_index(news, struct warm_update, taken);
 		struct beat_pair *pair = &beat->pairs[beat->pair_count];
 
 		pair->pair = one->pair;
@@ -145,7 +145,7 @@
 {
 	const struct edge *edge = gossip->edge;
 
-	return member_table_reads(edge->members, edge_now_us(edge));
+	return member_table_is_reader(edge->members, edge_now_us(edge));
 }
 
 /* Whether this round's beat goes to the neighbour. */
--- a/packages/edge/pool.c
+++ b/packages/edge/pool.c
@@ -50,8 +50,8 @@
 	struct conn *conn = (struct conn *)link;
 
 	if (conn->counted)
-		backend_ended_connection(conn->backend,
-					 clock_now_us(conn->pool->clock));
+		backend_closed_connection(conn->backend,
+					  clock_now_us(conn->pool->clock));
 	count(conn, false);
 	if (conn->user)
 		conn->user->vtable->ended(conn->user, conn, cause);
--- a/packages/edge/quarantine_store.c
+++ b/packages/edge/quarantine_store.c
@@ -55,7 +55,7 @@
 static void step_after_failure(struct quarantine_store *store,
 			       const char *cause)
 {
-	uint32_t rank = member_table_read_rank(store->edge->members);
+	uint32_t rank = member_table_reader_rank(store->edge->members);
 
 	log_event(LOG_WARNING, "quarantines-lost", "cause=%s failures=%u",
 		  cause, ++store->failures);
@@ -330,7 +330,7 @@
 	if (!store->is_read && !store->members_known)
 		return;
 	if (!store->is_read &&
-	    member_table_read_rank(edge->members) >= READ_FIRST_NODES)
+	    member_table_reader_rank(edge->members) >= READ_FIRST_NODES)
 		store->is_read = true;
 	if (!store->is_read)
 		read_rows(store);
--- a/packages/edge/server_limits.c
+++ b/packages/edge/server_limits.c
@@ -93,7 +93,7 @@
 bool server_limits_take(struct edge *edge, const struct rate_word *word)
 {
 	struct backend *backend =
-		backend_table_find_life(edge->backends, word->life);
+		backend_table_find_incarnation(edge->backends, word->life);
 	uint64_t now_us = edge_now_us(edge);
 
 	if (!rate_limit_is_sane(word))
@@ -139,7 +139,7 @@
 			 struct beat_token *answer)
 {
 	struct backend *backend =
-		backend_table_find_life(edge->backends, token->life);
+		backend_table_find_incarnation(edge->backends, token->life);
 	uint64_t now_us = edge_now_us(edge);
 	uint64_t wait_us;
 
--- a/packages/edge/sync_own.c
+++ b/packages/edge/sync_own.c
@@ -65,7 +65,7 @@
 void sync_strike_lost(struct sync *sync)
 {
 	struct edge *edge = sync->edge;
-	const struct member *lost = member_table_lost(
+	const struct member *lost = member_table_find_expired(
 		edge->members, edge->settings.forget_us, edge_now_us(edge));
 	struct registry_call call;
 
--- a/packages/edge/sync_plan.c
+++ b/packages/edge/sync_plan.c
@@ -124,14 +124,14 @@
 {
 	const struct edge *edge = sync->edge;
 
-	return member_table_reads(edge->members, edge_now_us(edge));
+	return member_table_is_reader(edge->members, edge_now_us(edge));
 }
 
 uint32_t sync_own_rank(const struct sync *sync)
 {
 	if (!sync->followers[REGISTRY_MEMBERS].whole)
 		return READ_RANK_UNKNOWN;
-	return member_table_read_rank(sync->edge->members);
+	return member_table_reader_rank(sync->edge->members);
 }
 
 /* Nobody can tell a node which nodes there are before it has read that. */
--- a/packages/edge/sync_tables.c
+++ b/packages/edge/sync_tables.c
@@ -148,7 +148,7 @@
 	struct edge *edge = sync->edge;
 	const struct backend *known =
 		backend_table_find(edge->backends, row->key);
-	const struct backend_facts facts = {
+	const struct backend_info facts = {
 		.id = row->key,
 		.service = record->service,
 		.address = record->address,
--- a/tests/core/choose_test.cc
+++ b/tests/core/choose_test.cc
@@ -52,7 +52,7 @@
 	struct backend *add(const std::string &id, const char *domain = "d1",
 			    const char *region = "r1", uint64_t cold_us = 0)
 	{
-		struct backend_facts facts = {};
+		struct backend_info facts = {};
 
 		facts.id = id.c_str();
 		facts.service = "s";
@@ -98,7 +98,7 @@
 				view, ("m" + std::to_string(other)).c_str());
 
 			set_text(&member->region, "r1");
-			member_heard(member, 1, false, now_us);
+			member_note_heartbeat(member, 1, false, now_us);
 		}
 		return view;
 	}
@@ -400,7 +400,7 @@
 	query.left_us = c.left_ms * US_PER_MS;
 	for (uint32_t i = 0; i < c.in_flight; i++)
 		backend_begin(only, times->warm_us, now_us);
-	warmth_begin(&warmth, { only->life, query.object }, WARM_TOLD,
+	warmth_begin(&warmth, { only->life, query.object }, WARM_RECEIVED,
 		     now_us + c.ready_ms * US_PER_MS, now_us);
 	struct choice choice = choose();
 	EXPECT_EQ(c.reason, choice.reason);
--- a/tests/core/edge_core_test.cc
+++ b/tests/core/edge_core_test.cc
@@ -150,7 +150,7 @@
 	uint32_t unreachable;
 	uint64_t left_ms;
 	enum send_outcome outcome;
-	enum retry_step step;
+	enum retry_decision step;
 };
 
 TEST(RetryTest, OnlyWhatMayRunTwiceIsSentTwice)
@@ -159,20 +159,20 @@
 		{ "unreachable costs nothing", false, 0, 1, 900,
 		  SEND_UNREACHABLE, RETRY_FREE },
 		{ "but not for ever", false, 0, 3, 900, SEND_UNREACHABLE,
-		  RETRY_NOT },
+		  RETRY_NONE },
 		{ "not executed: another server", false, 1, 0, 900,
-		  SEND_NOT_EXECUTED, RETRY_PAID },
+		  SEND_NOT_EXECUTED, RETRY_BUDGETED },
 		{ "broken: it may have run", false, 1, 0, 900, SEND_BROKEN,
-		  RETRY_NOT },
-		{ "failed: it ran", false, 1, 0, 900, SEND_FAILED, RETRY_NOT },
+		  RETRY_NONE },
+		{ "failed: it ran", false, 1, 0, 900, SEND_FAILED, RETRY_NONE },
 		{ "broken, idempotent", true, 1, 0, 900, SEND_BROKEN,
-		  RETRY_PAID },
+		  RETRY_BUDGETED },
 		{ "failed, idempotent", true, 1, 0, 900, SEND_FAILED,
-		  RETRY_PAID },
+		  RETRY_BUDGETED },
 		{ "all attempts used", true, 2, 0, 900, SEND_BROKEN,
-		  RETRY_NOT },
+		  RETRY_NONE },
 		{ "no time for an answer", true, 1, 0, 90, SEND_BROKEN,
-		  RETRY_NOT },
+		  RETRY_NONE },
 	};
 
 	for (const retry_case &c : cases) {
@@ -184,7 +184,7 @@
 		state.unreachable = c.unreachable;
 		state.left_us = c.left_ms * US_PER_MS;
 		state.usual_us = 100 * US_PER_MS;
-		EXPECT_EQ(c.step, retry_after(&state, c.outcome)) << c.name;
+		EXPECT_EQ(c.step, retry_decide(&state, c.outcome)) << c.name;
 	}
 }
 
@@ -372,21 +372,22 @@
 	struct member *b = member_table_find(table, "b");
 
 	EXPECT_EQ(1u, entries("r1")) << "b was never heard of";
-	EXPECT_TRUE(member_heard(b, 10, false, now_us));
+	EXPECT_TRUE(member_note_heartbeat(b, 10, false, now_us));
 	EXPECT_EQ(2u, entries("r1"));
-	now_us += MEMBER_SILENT_US;
-	EXPECT_FALSE(member_heard(b, 10, false, now_us)) << "an old beat";
+	now_us += MEMBER_TIMEOUT_US;
+	EXPECT_FALSE(member_note_heartbeat(b, 10, false, now_us))
+		<< "an old beat";
 	EXPECT_EQ(1u, entries("r1"));
-	EXPECT_TRUE(member_heard(b, 11, false, now_us));
+	EXPECT_TRUE(member_note_heartbeat(b, 11, false, now_us));
 	EXPECT_EQ(2u, entries("r1"));
-	member_heard(b, 12, true, now_us);
+	member_note_heartbeat(b, 12, true, now_us);
 	EXPECT_EQ(1u, entries("r1")) << "it leaves";
 }
 
 TEST_F(MemberTableTest, CallersOfARegionWithoutNodesGetTheOthers)
 {
 	EXPECT_EQ(1u, entries("r9"));
-	member_heard(member_table_find(table, "c"), 1, false, now_us);
+	member_note_heartbeat(member_table_find(table, "c"), 1, false, now_us);
 	EXPECT_EQ(2u, entries("r9"));
 	EXPECT_EQ(1u, entries("r2"));
 }
@@ -398,9 +399,9 @@
 
 	b->hash = 0;
 	EXPECT_EQ(table->self, member_table_reader(table, now_us));
-	member_heard(b, 1, false, now_us);
+	member_note_heartbeat(b, 1, false, now_us);
 	EXPECT_EQ(b, member_table_reader(table, now_us));
-	now_us += MEMBER_SILENT_US;
+	now_us += MEMBER_TIMEOUT_US;
 	EXPECT_EQ(table->self, member_table_reader(table, now_us));
 }
 
@@ -416,9 +417,10 @@
 	d->peer.port = 1;
 	d->link_mbps = 200;
 	for (const char *name : { "b", "d" })
-		member_heard(member_table_find(table, name), 1, false, now_us);
+		member_note_heartbeat(member_table_find(table, name), 1, false,
+				      now_us);
 	EXPECT_EQ(d, member_table_reader(table, now_us));
-	EXPECT_EQ(2u, member_table_read_rank(table));
+	EXPECT_EQ(2u, member_table_reader_rank(table));
 	ASSERT_EQ(2u, member_table_first_readers(table, first, 2));
 	EXPECT_EQ(d, first[0]);
 	EXPECT_EQ(b, first[1]);
@@ -426,7 +428,7 @@
 	EXPECT_EQ(d, first[0]);
 	table->self->link_mbps = 1000;
 	EXPECT_EQ(table->self, member_table_reader(table, now_us));
-	EXPECT_EQ(0u, member_table_read_rank(table));
+	EXPECT_EQ(0u, member_table_reader_rank(table));
 	table->self->leaving = true;
 	EXPECT_EQ(d, member_table_reader(table, now_us));
 }
@@ -441,19 +443,19 @@
 	struct member *b = member_table_find(table, "b");
 
 	b->hash = 0;
-	EXPECT_TRUE(member_table_reads(table, now_us));
+	EXPECT_TRUE(member_table_is_reader(table, now_us));
 	b->known_us = now_us;
-	EXPECT_FALSE(member_table_reads(table, now_us));
-	member_heard(b, 1, true, now_us);
-	EXPECT_FALSE(member_table_reads(table, now_us)) << "b starts, too";
-	now_us += MEMBER_SILENT_US;
-	EXPECT_TRUE(member_table_reads(table, now_us)) << "b never came";
-	member_heard(b, 2, false, now_us);
-	EXPECT_FALSE(member_table_reads(table, now_us));
+	EXPECT_FALSE(member_table_is_reader(table, now_us));
+	member_note_heartbeat(b, 1, true, now_us);
+	EXPECT_FALSE(member_table_is_reader(table, now_us)) << "b starts, too";
+	now_us += MEMBER_TIMEOUT_US;
+	EXPECT_TRUE(member_table_is_reader(table, now_us)) << "b never came";
+	member_note_heartbeat(b, 2, false, now_us);
+	EXPECT_FALSE(member_table_is_reader(table, now_us));
 	table->self->link_mbps = 1;
-	EXPECT_TRUE(member_table_reads(table, now_us));
+	EXPECT_TRUE(member_table_is_reader(table, now_us));
 	table->self->leaving = true;
-	EXPECT_FALSE(member_table_reads(table, now_us));
+	EXPECT_FALSE(member_table_is_reader(table, now_us));
 }
 
 /*
@@ -469,17 +471,17 @@
 	b->known_us = now_us;
 	c->known_us = now_us;
 	now_us += forget_us - 1;
-	EXPECT_EQ(nullptr, member_table_lost(table, forget_us, now_us));
-	member_heard(c, 1, false, now_us);
+	EXPECT_EQ(nullptr, member_table_find_expired(table, forget_us, now_us));
+	member_note_heartbeat(c, 1, false, now_us);
 	now_us += 1;
-	EXPECT_EQ(b, member_table_lost(table, forget_us, now_us));
+	EXPECT_EQ(b, member_table_find_expired(table, forget_us, now_us));
 	member_table_remove(table, "b");
 	now_us += forget_us;
-	EXPECT_EQ(c, member_table_lost(table, forget_us, now_us))
+	EXPECT_EQ(c, member_table_find_expired(table, forget_us, now_us))
 		<< "nobody lives in its region";
 	place("d", "r2");
-	member_heard(member_table_find(table, "d"), 1, false, now_us);
-	EXPECT_EQ(nullptr, member_table_lost(table, forget_us, now_us))
+	member_note_heartbeat(member_table_find(table, "d"), 1, false, now_us);
+	EXPECT_EQ(nullptr, member_table_find_expired(table, forget_us, now_us))
 		<< "its own region's reader strikes it";
 }
 
@@ -491,7 +493,7 @@
 	for (uint32_t i = 0; i < 3 * WARMTH_MAX_ENTRIES; i++) {
 		struct warm_pair pair = { 1, i };
 
-		warmth_note(&warmth, pair, WARM_TOLD, (i + 1) * US_PER_MS);
+		warmth_note(&warmth, pair, WARM_RECEIVED, (i + 1) * US_PER_MS);
 	}
 	struct warm_pair newest = { 1, 3 * WARMTH_MAX_ENTRIES - 1 };
 	struct warm_pair oldest = { 1, 0 };
@@ -538,7 +540,7 @@
 {
 	struct backend_table *a = backend_table_new();
 	struct backend_table *b = backend_table_new();
-	struct backend_facts facts = {};
+	struct backend_info facts = {};
 
 	facts.service = "s";
 	facts.domain = "d";
@@ -573,7 +575,7 @@
 TEST(BackendTableTest, ALaterStartUnderTheIdIsAnotherServer)
 {
 	struct backend_table *table = backend_table_new();
-	struct backend_facts facts = {};
+	struct backend_info facts = {};
 	uint64_t now_us = 10 * US_PER_S;
 
 	facts.id = "i-1";
@@ -587,7 +589,7 @@
 		backend_ref(backend_table_put(table, &facts, now_us));
 	uint64_t digest = backend_table_digest(table);
 	backend_begin(before, 1000, now_us);
-	backend_reported(before, 4, 9, now_us);
+	backend_note_load(before, 4, 9, now_us);
 	for (int i = 0; i < 10; i++)
 		backend_failed(before, now_us);
 
@@ -602,8 +604,8 @@
 	EXPECT_EQ(0u, again->shun_until_us);
 	EXPECT_EQ(1u, backend_cold_sends(again, now_us));
 	EXPECT_NE(digest, backend_table_digest(table));
-	EXPECT_EQ(nullptr, backend_table_find_life(table, before->life));
-	EXPECT_EQ(again, backend_table_find_life(table, again->life));
+	EXPECT_EQ(nullptr, backend_table_find_incarnation(table, before->life));
+	EXPECT_EQ(again, backend_table_find_incarnation(table, again->life));
 
 	facts.started_ms = 1000;
 	facts.draining = true;
@@ -618,7 +620,7 @@
 TEST(BackendTableTest, LoadIsOwnAndOthers)
 {
 	struct backend_table *table = backend_table_new();
-	struct backend_facts facts = {};
+	struct backend_info facts = {};
 	uint64_t now_us = US_PER_S;
 
 	facts.id = "i-1";
@@ -629,13 +631,13 @@
 	struct backend *backend = backend_table_put(table, &facts, now_us);
 	backend_begin(backend, 100, now_us);
 	EXPECT_DOUBLE_EQ(1.0, backend_load(backend, now_us));
-	backend_reported(backend, 3, 1, now_us);
+	backend_note_load(backend, 3, 1, now_us);
 	EXPECT_DOUBLE_EQ(4.0, backend_load(backend, now_us));
 	EXPECT_LT(backend_load(backend, now_us + 3 * US_PER_S), 1.5);
-	backend_told(backend, 77, 5, now_us);
-	backend_told(backend, 78, 2, now_us);
+	backend_note_peer_load(backend, 77, 5, now_us);
+	backend_note_peer_load(backend, 78, 2, now_us);
 	EXPECT_DOUBLE_EQ(8.0, backend_load(backend, now_us));
-	backend_table_forget_words(table, 77);
+	backend_table_clear_peer_loads(table, 77);
 	EXPECT_DOUBLE_EQ(4.0, backend_load(backend, now_us));
 	backend_table_free(table);
 }
@@ -676,7 +678,7 @@
 TEST_P(RowTest, TheNewestRowIsBelieved)
 {
 	struct backend_table *table = backend_table_new();
-	struct backend_facts facts = {};
+	struct backend_info facts = {};
 	uint64_t now_us = 1;
 
 	facts.id = "i-1";
--- a/tests/core/suspect_fleet.h
+++ b/tests/core/suspect_fleet.h
@@ -209,7 +209,7 @@
 	{
 		std::string domain =
 			"d" + std::to_string(server.number % DOMAINS);
-		struct backend_facts facts = {};
+		struct backend_info facts = {};
 
 		server.id = "i-" + std::to_string(next_life_++);
 		facts.id = server.id.c_str();
--- a/tests/core/suspect_table_test.cc
+++ b/tests/core/suspect_table_test.cc
@@ -66,7 +66,7 @@
 	}
 	struct backend *add_backend(const char *id)
 	{
-		struct backend_facts facts = {};
+		struct backend_info facts = {};
 
 		facts.id = id;
 		facts.service = "s";
--- a/tests/edge/gossip_test.cc
+++ b/tests/edge/gossip_test.cc
@@ -493,7 +493,7 @@
 		backend = backend_table_find(edge->backends, "i-1");
 		neighbour->hash = hash_before(0);
 		put_dead_sender(hash_before(neighbour->hash + 1));
-		member_heard(neighbour, 1, false, edge_now_us(edge));
+		member_note_heartbeat(neighbour, 1, false, edge_now_us(edge));
 		const struct rate_word word = { backend->life, 1, 0 };
 		ASSERT_TRUE(server_limits_take(edge, &word));
 		ASSERT_DOUBLE_EQ(0, backend->limit.part_per_s);
--- a/tests/edge/large_document.h
+++ b/tests/edge/large_document.h
@@ -79,8 +79,9 @@
 	/* The reader beats, and vouches for nothing. */
 	void reader_lives()
 	{
-		member_heard(member_table_find(edge->members, "reader"),
-			     ++beats, false, edge_now_us(edge));
+		member_note_heartbeat(member_table_find(edge->members,
+							"reader"),
+				      ++beats, false, edge_now_us(edge));
 	}
 	/* The reader goes on to beat while this node's call is out. */
 	void vouch_until(const std::function<bool()> &condition, uint64_t ms,
--- a/tests/edge/neighbour_test.cc
+++ b/tests/edge/neighbour_test.cc
@@ -68,8 +68,8 @@
 		struct beat_vouch vouches[BEAT_MAX_VOUCHES];
 		uint32_t count = sync_vouches(sync, vouches);
 
-		member_heard(member_table_find(second.members, "n1"), ++beat,
-			     false, edge_now_us(&second));
+		member_note_heartbeat(member_table_find(second.members, "n1"),
+				      ++beat, false, edge_now_us(&second));
 		for (uint32_t i = 0; i < count; i++)
 			sync_vouched(second_sync, &vouches[i]);
 	}
@@ -356,7 +356,7 @@
 		[this] { return !backend_table_find(second.backends, "i-3"); });
 	/* As after the cut: the reader keeps it, and vouches for what it has.
 	 */
-	struct backend_facts facts = {};
+	struct backend_info facts = {};
 	facts.id = "i-3";
 	facts.service = "s";
 	facts.domain = "d1";
--- a/tests/edge/sync_test.cc
+++ b/tests/edge/sync_test.cc
@@ -195,8 +195,9 @@
 		struct beat_vouch vouches[BEAT_MAX_VOUCHES];
 		uint32_t count = sync_vouches(sync, vouches);
 
-		member_heard(member_table_find(edge->members, "reader"), ++beat,
-			     false, edge_now_us(edge));
+		member_note_heartbeat(member_table_find(edge->members,
+							"reader"),
+				      ++beat, false, edge_now_us(edge));
 		for (uint32_t i = 0; i < count; i++) {
 			vouches[i].age_ms = age_ms;
 			vouches[i].digest += differs;
@@ -284,8 +285,9 @@
 		struct beat_vouch vouches[BEAT_MAX_VOUCHES];
 		uint32_t count = sync_vouches(sync, vouches);
 
-		member_heard(member_table_find(edge->members, "reader"), ++beat,
-			     false, edge_now_us(edge));
+		member_note_heartbeat(member_table_find(edge->members,
+							"reader"),
+				      ++beat, false, edge_now_us(edge));
 		for (uint32_t i = 0; i < count; i++) {
 			vouches[i].age_ms = 0;
 			vouches[i].digest += vouches[i].table ==
