--- a/packages/core/backend_table.c
+++ b/packages/core/backend_table.c
@@ -7,34 +7,34 @@
 #include "core/hash.h"
 
 /*
- * How fast a reported load is forgotten: requests take a second or so, after
- * which the ones it counted have ended.
+ * Time constant of the exponential decay of a server's reported load. Requests
+ * take about 1 s, after which those that were counted have ended.
  */
 #define OTHER_LOAD_DECAY_US (1 * US_PER_S)
 
-/* Neighbours' word is older than three of their beats: it counts no longer. */
+/* Age limit of a peer's load report: three of its heartbeats. */
 #define PEER_LOAD_VALID_US (1500 * US_PER_MS)
 
-/* Weight of one outcome in the share of failures: about the last 10. */
+/* Weight of one outcome in the average: about the last 10 requests count. */
 #define FAILURE_WEIGHT 0.1
 
-/* First and longest spell without requests after a server was unreachable. */
+/* First and longest backoff after a server was unreachable. */
 #define SHUN_FIRST_US (500 * US_PER_MS)
 #define SHUN_MAX_US (4 * US_PER_S)
 
-/* Share of failed requests from which a server is left alone for a spell. */
+/* Share of failed requests above which a server is backed off from. */
 #define SHUN_FAILURE_SHARE 0.6
 
 /*
- * Times before a service has answered: the objective is set so that a warm
- * server meets it with room and a cold one misses it.
+ * Initial service times, as fractions of the objective: that is set so that a
+ * warm server meets it with some margin and a cold one misses it.
  */
 #define WARM_PRIOR 0.5
 #define COLD_PRIOR 1.5
 
 /*
- * How long the version that removed a server is kept: the platform tells of
- * changes for as long as its history lasts, a minute at most.
+ * How long the version that removed a server is kept. The platform reports
+ * changes as far back as its history goes, at most 1 min.
  */
 #define REMOVED_KEEP_US (60 * US_PER_S)
 
@@ -70,7 +70,7 @@
 	g_free(table);
 }
 
-/* Connections that end within this time ended for one reason. */
+/* Connections closed within this time of each other have one cause. */
 #define DISCONNECT_BURST_US (20 * US_PER_MS)
 
 static uint32_t incarnation_of(uint32_t hash, uint64_t started_ms)
@@ -111,12 +111,12 @@
 }
 
 /*
- * Changes that nobody takes are forgotten beyond this: a failure domain's worth
- * of servers that come or go at once.
+ * Changes kept until they are taken; later ones are dropped. Enough for a
+ * failure domain whose servers all come or go at once.
  */
 #define MAX_CHANGES 512
 
-/* Until the list was read whole there is nothing that could have changed. */
+/* Ignored until the first complete list, which is no change. */
 static void note_change(struct backend_table *table, const char *id)
 {
 	if (table->whole && table->changes->len < MAX_CHANGES)
@@ -168,7 +168,7 @@
 	table->disturbed_us = now_us;
 	note_change(table, backend->id);
 	g_ptr_array_remove(list, backend);
-	/* Of two lives with one hash the later one has it. */
+	/* On a hash collision the entry belongs to the later incarnation. */
 	if (backend_table_find_incarnation(table, backend->life) == backend)
 		g_hash_table_remove(table->by_life,
 				    GUINT_TO_POINTER(backend->life));
@@ -176,9 +176,10 @@
 }
 
 /*
- * It crashed and came back under its id. The life before leaves as one that is
- * gone, so that what runs there ends in peace. Only the log of sends while cold
- * goes on: the bound on those is the address's, whichever life counts them.
+ * Replaces a server that restarted under its id. The previous incarnation is
+ * removed but stays valid for its running requests. Only the log of cold sends
+ * is carried over, since the cold allowance applies to the address across
+ * incarnations.
  */
 static struct backend *restart(struct backend_table *table,
 			       struct backend *before,
--- a/packages/core/build_options.h
+++ b/packages/core/build_options.h
@@ -1,7 +1,7 @@
 /*
  * build_options - limits fixed when the programs are built
  *
- * Every fixed bound on memory that outside input can ask for stands here.
+ * All fixed limits on the memory that input from outside can use.
  */
 #ifndef CORE_BUILD_OPTIONS_H
 #define CORE_BUILD_OPTIONS_H
@@ -18,7 +18,7 @@
 /* Largest configuration document, in bytes. */
 #define CONFIG_MAX_BYTES (16 * 1024 * 1024)
 
-/* Items of each list of the configuration document. */
+/* Largest number of items in each list of the configuration document. */
 #define CONFIG_MAX_SERVICES 4096
 #define CONFIG_MAX_PLACES 4096
 #define CONFIG_MAX_NODES 16384
@@ -26,10 +26,10 @@
 #define CONFIG_MAX_LINKS 65536
 #define CONFIG_MAX_BLOCKS 1048576
 
-/* Command ids that the configuration document remembers. */
+/* Ids of the latest commands, kept in the configuration document. */
 #define CONFIG_COMMANDS_KEPT 64
 
-/* Shifts that may stand at one time. */
+/* Shifts that may be in force at one time. */
 #define CONFIG_MAX_SHIFTS 256
 
 /* Seats that a shift's cap may be split into. */
@@ -38,16 +38,17 @@
 /* Largest cap of a shift, in requests a second. */
 #define SHIFT_MAX_CAP_PER_S 65536
 
-/* Answers of non-idempotent requests that a node keeps for resends. */
+/* Answers to non-idempotent requests that a node keeps for repeated requests.
+ */
 #define LEDGER_MAX_ENTRIES 65536
 
-/* Bytes of kept answers in one ledger. */
+/* Bytes of all answers kept in one ledger. */
 #define LEDGER_MAX_ANSWER_BYTES (64 * 1024 * 1024ull)
 
-/* Requests that may wait at one place's gate for one service. */
+/* Requests that may wait at the gate of one place for one service. */
 #define GATE_MAX_WAITING 1024
 
-/* Attempts of one request, the first included. */
+/* Attempts of one request, including the first. */
 #define REQUEST_MAX_ATTEMPTS 3
 
 #endif
--- a/packages/core/candidate.c
+++ b/packages/core/candidate.c
@@ -6,55 +6,57 @@
 #include "core/duration.h"
 #include "core/hash.h"
 
-/* A cold server's work takes about twice as long. */
+/* Factor on the service time of a server that is still warming up. */
 #define COLD_SLOWNESS 2.0
 
 /*
- * Part of a service time that a place further down the rendezvous order costs:
- * objects then have few owners, whose caches hold them.
+ * Cost of each place further down the rendezvous order, in warm service times.
+ * It keeps each object on few servers, whose caches then hold it.
  */
 #define RANK_COST 0.4
 
 /*
- * Cost of a server in another region beside its link, in warm service times:
- * the bytes on the links are paid for, and its slots are another region's.
+ * Cost of a server in another region in addition to the round trip, in warm
+ * service times: traffic between regions costs money, and its slots are meant
+ * for its own region.
  */
 #define FAR_COST 1.0
 
-/* Cost of a server's load, at as many as its slots, in warm service times. */
+/* Cost of a load equal to the server's slots, in warm service times. */
 #define LOAD_COST 0.1
 
-/* Requests over its slots that a server may hold, as a part of the slots. */
+/* Requests that a server may queue, as a fraction of its slots. */
 #define QUEUE_FRACTION 1.0
 
 /*
- * Load, as a part of its slots, up to which a server may do cold what another
- * has warm. A cold run holds a slot several times as long: where slots are
- * short, sending an object elsewhere because its own server is busy takes more
- * from the others than it gives. Well below all slots, since loads are known
- * late and too low.
+ * Load, as a fraction of its slots, up to which a server may run a request cold
+ * that another server has warm. A cold run holds a slot several times as long:
+ * when slots are scarce, moving an object off its busy server costs the others
+ * more than it saves. Well below 1, since load estimates are late and too low.
  */
 #define SPARE_FRACTION 0.4
 
 /*
- * How much longer a cold run takes, in warm ones, for it to be worth a wait
- * while all slots of the server that runs the object's first one are taken.
+ * Extra time of a cold run, in warm service times, from which it is worth
+ * holding a request until the object's first run has warmed a server whose
+ * slots are all taken.
  */
 #define HOLD_GAIN 0.5
 
-/* Nodes that send to a cold server, so that its allowance isn't crumbs. */
+/* Nodes that share a cold server's allowance; few, so that shares are usable.
+ */
 #define COLD_SENDERS 2
 
-/* A failed request costs a further try: warm times at certain failure. */
+/* Cost of a retry at a failure rate of 1, in warm service times. */
 #define FAILURE_COST 4.0
 
 /*
- * Cost of a server where a request is at work that may crash it, in warm
- * service times: whatever is there beside it ends, too.
+ * Cost of a server that runs a request suspected of crashing servers, in warm
+ * service times: a crash ends all other requests there.
  */
 #define SUSPECT_COST 4.0
 
-/* The same for such a request, for each one that is there. */
+/* Cost of each request at a server for a suspect that needs isolation. */
 #define COLOCATION_COST 1.0
 
 static bool region_allowed(const struct route *route, const char *region)
@@ -79,10 +81,10 @@
 }
 
 /*
- * A cold server that gets more than it bears crashes. Its allowance is split
- * between the few nodes that come first in its rendezvous order of all known
- * members, also of dead ones: a node that is cut off then doesn't take itself
- * for the only one.
+ * Whether this node may still send to the server if it is cold. A cold server
+ * crashes under too many requests, so its allowance is split between the first
+ * COLD_SENDERS nodes in its rendezvous order of all known members. Dead ones
+ * count too, so that a partitioned node doesn't use the whole allowance.
  */
 static bool cold_allows(const struct chooser *chooser,
 			const struct service *service,
@@ -131,7 +133,7 @@
 	return CHOOSE_OPEN;
 }
 
-/* Rendezvous score, weighted by slots; the larger one comes first. */
+/* Rendezvous score, weighted by slots; a larger score ranks first. */
 static double rendezvous(const struct backend *backend, uint32_t object)
 {
 	double part = ((double)hash_pair(backend->hash, object) + 1.0) /
@@ -141,9 +143,9 @@
 }
 
 /*
- * How long to hold the request for a server that runs a first one for the same
- * object; 0: not at all. Sent now, it would run cold as well as soon as it has
- * a slot. That is left to it where a slot is free: nobody waits for it, and it
+ * How long to hold the request for a server that is running the object's first
+ * request; 0: don't. Sent at once it would run cold, too, when it gets a slot.
+ * Not called where a slot is free: then a cold run delays no other request and
  * is answered sooner.
  */
 static double hold_us(const struct chooser *chooser,
@@ -159,9 +161,9 @@
 }
 
 /*
- * There and back, and once more where a connection has to be opened. Left out,
- * another region seemed as near as it is over a kept connection, and requests
- * that left their region took a fifth of a second to arrive.
+ * Network time: one round trip, and another one where no connection is idle and
+ * one has to be opened. Without the latter, requests to another region were
+ * taken to be as fast as over an open connection, but took 200 ms to arrive.
  */
 static double round_trip_us(const struct chooser *chooser,
 			    const struct backend *backend)
@@ -275,7 +277,7 @@
 		       CHOOSE_LIMITED;
 }
 
-/* Those that lend tokens are near the server. */
+/* A token must be borrowed first, from a node near the server. */
 static void add_token_round_trip(const struct chooser *chooser,
 				 struct candidate *candidate)
 {
--- a/packages/core/candidate.h
+++ b/packages/core/candidate.h
@@ -1,9 +1,8 @@
 /*
  * candidate - the backend servers that a request may go to, and their costs
  *
- * The filters that nothing passes, the rendezvous order of the object, and what
- * is expected of each server. Which of them is taken is choose's; not for other
- * modules.
+ * Applies the filters, orders the remaining servers by the object's rendezvous
+ * hash and estimates the cost of each. Internal to choose, which picks one.
  */
 #ifndef CORE_CANDIDATE_H
 #define CORE_CANDIDATE_H
@@ -15,49 +14,48 @@
 #endif
 
 /*
- * A request that is held is looked at again after so long: news take a tenth of
- * a second.
+ * Interval at which a held request is reconsidered. Updates from peers take
+ * about 100 ms.
  */
 #define CANDIDATE_HOLD_STEP_US (50.0 * US_PER_MS)
 
 struct candidate {
 	struct backend *backend;
 	/*
-	 * In the rendezvous order, the larger first. Taken once, not at each
-	 * comparison, where it would be most of a choice's time.
+	 * Rendezvous score, sorted in descending order. Computed once: within
+	 * the comparison it would take most of the time of a choice.
 	 */
 	double score;
-	double cost_us; /* expected time with the tie-break's part */
-	double expected_us;
-	double work_us;
-	double wait_us;
-	bool warm;
+	double cost_us; /* expected time plus surcharges */
+	double expected_us; /* until the answer: network, wait and work */
+	double work_us; /* service time */
+	double wait_us; /* for a slot */
+	bool warm; /* has the object in its cache */
 	bool near; /* in this node's region */
-	bool trial; /* chosen to be warmed, not for its time */
-	bool full;
-	bool spare; /* has slots for what another server does faster */
-	double hold_us; /* until it will be warm, if that is worth waiting for
-			 */
+	bool trial; /* chosen to warm its cache, not for its cost */
+	bool full; /* its queue is full */
+	bool spare; /* load so low that it may run requests cold */
+	double hold_us; /* until it is warm; 0: not worth waiting for */
 };
 
-/* What keeps the server out of the choice; CHOOSE_OPEN: nothing. */
+/* The filter that excludes the server; CHOOSE_OPEN if none does. */
 enum choose_block candidate_blocked(const struct chooser *chooser,
 				    const struct choose_query *query,
 				    const struct backend *backend,
 				    uint64_t now_us);
 
 /*
- * All that may be used, in rendezvous order, with their costs: struct
- * candidate, for g_array_unref().
+ * All servers that pass the filters, in rendezvous order, with their costs. An
+ * array of struct candidate; the caller frees it by g_array_unref().
  */
 GArray *candidates_collect(const struct chooser *chooser,
 			   const struct choose_query *query,
 			   const struct service_times *times, uint64_t now_us);
 
 /*
- * The cheapest server that only its rate keeps out and that costs less than
- * this, of another region only where the request may leave; NULL if there is
- * none. Those whose senders have just said that they have no token are out.
+ * The cheapest server that only its rate limit excludes and that costs less
+ * than cost_us; of another region only if may_leave. Servers whose senders have
+ * just had no token to lend are skipped. NULL if there is none.
  */
 struct backend *candidates_best_limited(const struct chooser *chooser,
 					const struct choose_query *query,
@@ -65,7 +63,9 @@
 					double cost_us, bool may_leave,
 					uint64_t now_us);
 
-/* Whether some server has the object warm and isn't so slow that it's no use.
+/*
+ * Whether some server has the object in its cache, or soon will, and is faster
+ * than an average cold run.
  */
 bool candidates_have_warm(const GArray *candidates,
 			  const struct service_times *times);
--- a/packages/core/choose.c
+++ b/packages/core/choose.c
@@ -8,30 +8,30 @@
 #include "core/duration.h"
 
 /*
- * Answers of a service before its times are a reason to refuse. Few, since
- * until then the queues of a start grow past the objective; one or two say
- * little.
+ * Answers of a service before its average times may be a reason to refuse. One
+ * or two are too few to trust; many would let queues grow past the objective
+ * when the service starts.
  */
 #define MIN_SAMPLES 5
 
-/* Part of requests that may warm one more server for their object. */
+/* Fraction of requests that may warm one more server for their object. */
 #define TRIAL_FRACTION 0.005
 
 /*
- * Nodes of a region that give a server that joined its first request. Were it
- * each node, dozens of nodes and of such servers would make a large part of all
- * requests first ones, most of them late. One node that dies is followed by the
- * next as soon as its silence is noticed.
+ * Nodes of a region that send a new server its first request. If all nodes did,
+ * dozens of nodes times dozens of new servers would make a large share of all
+ * requests cold ones, most of them late. If the node dies, the next in order
+ * takes over after the member timeout.
  */
 #define NEWCOMER_SENDERS 1
 
-/* For so long a server counts as one that joined. */
+/* How long a server counts as new. */
 #define NEWCOMER_US (10 * US_PER_S)
 
-/* How long after the loss of a server requests may leave the region freely. */
+/* How long after a loss requests may leave the region without limit. */
 #define FREE_AFTER_LOSS_US (5 * US_PER_S)
 
-/* When to come back to a service that has no server yet. */
+/* Retry time for a service without any usable server. */
 #define RETRY_UNKNOWN_US (1 * US_PER_S)
 
 static bool avoids_cold_runs(const struct chooser *chooser,
@@ -42,7 +42,10 @@
 	       candidates_have_warm(candidates, times);
 }
 
-/* The cheapest in this region or out of it; see candidates_have_warm(). */
+/*
+ * The cheapest server in this region or outside it. With avoid_cold, servers
+ * that would run the request cold count only if they have spare slots.
+ */
 static const struct candidate *find_cheapest(const GArray *candidates,
 					     bool near, bool avoid_cold)
 {
@@ -73,7 +76,7 @@
 		       NEWCOMER_SENDERS;
 }
 
-/* A server of this region that joined and is this node's to begin with. */
+/* A new server of this region to which this node sends the first request. */
 static struct candidate *find_newcomer(const struct chooser *chooser,
 				       const GArray *candidates,
 				       uint64_t now_us)
@@ -92,8 +95,8 @@
 }
 
 /*
- * A server of this region that isn't warm for the object while another is, and
- * has room: without trials a server that joins would never be chosen.
+ * A server of this region that isn't warm for the object and has free slots.
+ * Without trials a new server would never be chosen while another is warm.
  */
 static struct candidate *find_unwarmed(const GArray *candidates)
 {
@@ -132,9 +135,9 @@
 }
 
 /*
- * Before anything is known of the demand, each region's is taken for the same:
- * what exceeds this region's part of the slots leaves it from the start. A
- * share that began at none would need ten seconds to get there in its steps.
+ * Initial share of requests that leave the region. It assumes equal demand in
+ * all regions, so that what exceeds this region's slots leaves from the start.
+ * Starting from 0, the share would take 10 s to get there in bounded steps.
  */
 static double initial_share(const struct chooser *chooser, const char *service)
 {
@@ -217,8 +220,9 @@
 }
 
 /*
- * Whether a request that no server takes now, or one of another region, would
- * be let go there.
+ * Whether the request may go to another region for a server that is now out of
+ * tokens. True if the best server is in another region; if there is none, as
+ * region_flow decides.
  */
 static bool may_leave(struct chooser *chooser, const struct choose_query *query,
 		      const struct candidate *best, uint64_t now_us)
@@ -257,7 +261,7 @@
 	return verdict == ADMISSION_TAKE;
 }
 
-/* What servers that would be used but for their rates take a second. */
+/* Sum of the rates of servers that only their rate limit excludes, per s. */
 static double blocked_rate_per_s(const struct chooser *chooser,
 				 const struct choose_query *query,
 				 uint64_t now_us)
@@ -291,7 +295,7 @@
 	return returns;
 }
 
-/* Each node gives out its part of the rate to those who come back. */
+/* Retry time by rate limit; each node hands out an equal share of the rate. */
 static uint64_t rate_retry_after_us(struct chooser *chooser,
 				    const struct choose_query *query,
 				    double per_s, uint64_t now_us)
--- a/packages/core/choose.h
+++ b/packages/core/choose.h
@@ -1,14 +1,14 @@
 /*
  * choose - which backend server a request goes to
  *
- * Filters come first and nothing passes them: allowed regions, evacuated
- * failure domains, servers that leave, servers that were tried, the allowance
- * of cold ones, the rate of those that named one. Of the rest the one with the
- * least expected time is chosen: the way there and back, the service time
- * (short where the object is warm), the wait for a slot, and a surcharge for
- * its share of failures. A rendezvous order of the object's hash breaks ties,
- * so that all nodes warm the same servers for it. Pure but for the tables
- * passed in; not thread-safe.
+ * Filters exclude servers without exception: outside the route's regions, in an
+ * evacuated failure domain, draining or removed, backed off from, already
+ * tried, out of cold allowance, out of rate limit tokens. Of the rest the
+ * cheapest is chosen. Its cost is the expected time (round trip, wait for a
+ * slot, service time, which is shorter where the object is in the cache) with
+ * surcharges, for example for failures. The rendezvous order of the object's
+ * hash adds a small cost, so that all nodes warm the same servers for it. Uses
+ * no state but the tables passed in; not thread-safe.
  */
 #ifndef CORE_CHOOSE_H
 #define CORE_CHOOSE_H
@@ -28,39 +28,40 @@
 extern "C" {
 #endif
 
-/* Backend servers that one request may have been sent to before. */
+/* Backend servers that a request was sent to before, at most. */
 #define CHOOSE_MAX_TRIED 8
 
-/*
- * Mechanisms that can be switched off, to measure what each is worth: bits of
- * chooser.off.
- */
+/* Mechanisms that experiments can disable: bits of chooser.off. */
 enum choose_mechanism {
-	CHOOSE_LEAVE_BY_OBJECT = 1 << 0, /* region_flow by objects */
-	CHOOSE_KEEP_WARM = 1 << 1, /* nothing cold on a busy server */
-	CHOOSE_HOLD_REQUESTS = 1 << 2, /* for one about to be warm */
-	CHOOSE_ADMIT = 1 << 3, /* refuse who would queue and be late */
+	/* Whole objects leave the region, not single requests. */
+	CHOOSE_LEAVE_BY_OBJECT = 1 << 0,
+	/* No cold runs on busy servers while another is warm. */
+	CHOOSE_KEEP_WARM = 1 << 1,
+	/* Hold requests until a server is warm for the object. */
+	CHOOSE_HOLD_REQUESTS = 1 << 2,
+	/* Refuse requests that would queue and be late. */
+	CHOOSE_ADMIT = 1 << 3,
 };
 
 struct chooser {
 	struct backend_table *backends;
 	struct member_table *members;
 	struct warmth *warmth;
-	const struct suspect_table *suspects; /* NULL: none are known */
-	const char *domain; /* where this node stands */
-	const char *region;
+	const struct suspect_table *suspects; /* may be NULL */
+	const char *domain; /* of this node */
+	const char *region; /* of this node */
 	GHashTable *links; /* region -> struct link_time */
 	GHashTable *flows; /* service -> struct region_flow */
 	GHashTable *returns; /* service -> struct admission_returns */
-	double trial_credit; /* requests that may warm another server */
-	uint32_t off; /* of enum choose_mechanism; 0 but in experiments */
+	double trial_credit; /* trials allowed now; see CHOOSE_TRIAL */
+	uint32_t off; /* enum choose_mechanism; 0 except in experiments */
 };
 
-/* Whether a request keeps away from servers where suspects are at work. */
+/* Whether a request avoids servers that run requests suspected of crashes. */
 enum choose_isolation {
-	CHOOSE_ISOLATE_NONE, /* as far as the costs say */
-	CHOOSE_ISOLATE_PREFERRED, /* if there is another server */
-	CHOOSE_ISOLATE_REQUIRED, /* and from others that are at work */
+	CHOOSE_ISOLATE_NONE, /* such a server only costs more */
+	CHOOSE_ISOLATE_PREFERRED, /* unless there is no other server */
+	CHOOSE_ISOLATE_REQUIRED, /* always; and each request there costs */
 };
 
 struct choose_query {
@@ -68,89 +69,93 @@
 	const struct service *service;
 	bool has_object;
 	uint32_t object; /* hash of the affinity key */
-	uint64_t left_us; /* until the caller must have its answer */
+	uint64_t left_us; /* until the deadline */
 	uint64_t spent_us; /* since the request arrived */
-	uint64_t patience_us; /* how long its caller waits; 0: unknown */
+	uint64_t patience_us; /* longest wait of its caller; 0: unknown */
 	const struct backend *tried[CHOOSE_MAX_TRIED];
 	uint32_t tried_count;
-	enum choose_isolation apart; /* it may crash its server */
+	enum choose_isolation apart; /* if it may crash its server */
 };
 
 enum choose_reason {
-	CHOOSE_WARM, /* warm for the object */
-	CHOOSE_RANK, /* not warm; by rendezvous order and load */
-	CHOOSE_TRIAL, /* to warm another server while there is room */
-	CHOOSE_HOLD, /* none yet: a server is about to be warm for the object */
-	CHOOSE_NONE_KNOWN, /* no backend server may be used */
-	CHOOSE_NONE_FREE, /* all are full, or too slow for what time is left */
-	CHOOSE_NO_RATE, /* this node has no more of what their limits allow */
+	CHOOSE_WARM, /* has the object in its cache */
+	CHOOSE_RANK, /* not warm; cheapest by rendezvous order and load */
+	CHOOSE_TRIAL, /* to warm one more server for the object */
+	CHOOSE_HOLD, /* none yet: wait, a server will soon be warm */
+	CHOOSE_NONE_KNOWN, /* no server, or filters exclude all */
+	CHOOSE_NONE_FREE, /* all are full, or too slow for the time left */
+	CHOOSE_NO_RATE, /* no token for servers that pass all other filters */
 };
 
-/* What keeps a backend server out of a choice. */
+/* The filter that excludes a backend server from a choice. */
 enum choose_block {
 	CHOOSE_OPEN,
-	CHOOSE_LEAVING, /* draining, or gone from the list */
-	CHOOSE_EVACUATED, /* its failure domain gets nothing */
-	CHOOSE_SHUNNED, /* left alone for a spell after failures */
-	CHOOSE_TRIED, /* by this request */
-	CHOOSE_FORBIDDEN, /* its region isn't among the route's */
-	CHOOSE_COLD, /* no more of its cold allowance is this node's */
-	CHOOSE_SUSPECT, /* another request that may crash it is there */
-	CHOOSE_LIMITED, /* no more of the rate that it named is this node's */
+	CHOOSE_LEAVING, /* draining, or removed from the table */
+	CHOOSE_EVACUATED, /* its failure domain is evacuated */
+	CHOOSE_SHUNNED, /* in backoff after failures */
+	CHOOSE_TRIED, /* already, by this request */
+	CHOOSE_FORBIDDEN, /* its region isn't allowed by the route */
+	CHOOSE_COLD, /* this node's share of its cold allowance is used up */
+	CHOOSE_SUSPECT, /* it runs another request that may crash it */
+	CHOOSE_LIMITED, /* this node has no token of its rate limit */
 };
 
-/* A backend server as a choice sees it. */
+/* How a choice rates one backend server; see choose_explain(). */
 struct choose_view {
 	struct backend *backend;
-	enum choose_block block; /* if not open, the rest is 0 */
-	double cost_us; /* the least is chosen, within the region if it may */
+	enum choose_block block; /* unless CHOOSE_OPEN, all below is 0 */
+	double cost_us; /* the cheapest of its side is best */
 	double expected_us;
 	bool warm;
-	bool near;
-	bool full;
-	bool best; /* of its region's side: a choice takes one of these */
+	bool near; /* in this node's region */
+	bool full; /* its queue is full */
+	/* Cheapest in this region or outside it; one is chosen, or a trial. */
+	bool best;
 };
 
 struct choice {
 	struct backend *backend; /* NULL if none */
 	enum choose_reason reason;
-	double expected_us; /* of it all, the way and the wait too */
-	double work_us; /* of the service alone */
+	double expected_us; /* until the answer: round trip, wait and work */
+	double work_us; /* service time */
 	double wait_us; /* for a slot */
-	bool warm; /* the server counts as warm for the object */
-	uint64_t hold_us; /* when held: choose again after that */
-	uint64_t retry_after_us; /* when refused: when to come back */
-	/* It would be this one, had this node a token of its rate; or NULL. */
+	bool warm; /* the server has the object in its cache */
+	uint64_t hold_us; /* CHOOSE_HOLD: choose again after this time */
+	uint64_t retry_after_us; /* if refused: when the caller should retry */
+	/* Server to be preferred if only its rate limit allowed it; or NULL. */
 	struct backend *wanted;
 };
 
+/* Borrows all arguments: they must outlive the chooser. */
 void chooser_init(struct chooser *chooser, struct backend_table *backends,
 		  struct member_table *members, struct warmth *warmth,
 		  const char *domain, const char *region);
 void chooser_release(struct chooser *chooser);
 
+/* Fills in choice; choice->reason says why there is no server. */
 void choose_backend(struct chooser *chooser, const struct choose_query *query,
 		    uint64_t now_us, struct choice *choice);
 
 /*
- * What a choice would weigh now, and nothing is claimed by asking: struct
- * choose_view in rendezvous order, those that are out last; for
- * g_array_unref().
+ * How a choice made now would rate each server, without counting a request. An
+ * array of struct choose_view in rendezvous order, with excluded servers last;
+ * the caller frees it by g_array_unref().
  */
 GArray *choose_explain(const struct chooser *chooser,
 		       const struct choose_query *query, uint64_t now_us);
 
-/* Share of the service's requests that leaves this region, 0 to 1. */
+/* Share of the service's requests sent to other regions, 0 to 1. */
 double chooser_far_share(const struct chooser *chooser, const char *service);
 
-/* A connection to a server of this region took so long to open. */
+/* Notes the time that a connection to a server of the region took to open. */
 void chooser_link_measured(struct chooser *chooser, const char *region,
 			   uint64_t round_trip_us);
+/* Smoothed round trip time to the region, or a default. */
 uint64_t chooser_link_us(const struct chooser *chooser, const char *region);
 
 /*
- * The request goes to the chosen server; while that isn't warm for the object,
- * the next ones are held for it. If it fails, they aren't any more.
+ * Notes that the request is sent to the chosen server. If that isn't warm, more
+ * requests for the object may be held until it is, or until chooser_failed().
  */
 void chooser_began(struct chooser *chooser, const struct choose_query *query,
 		   const struct choice *choice, uint64_t now_us);
@@ -158,10 +163,10 @@
 		    const struct choice *choice);
 
 /*
- * The chosen server gave a good answer after took_us, of which round_trip_us
- * was the way there and back. Neither that nor the wait for a slot counts as
- * its work: where the wait did, all servers of a busy service seemed slow, and
- * what was expected of them too long by the wait.
+ * Notes that the chosen server answered successfully after took_us, which
+ * includes round_trip_us on the network. The service time learned excludes that
+ * and the wait for a slot: with the wait in it, all servers of a busy service
+ * would seem slow, and the wait would count twice in expected times.
  */
 void chooser_learn(struct chooser *chooser, const struct choose_query *query,
 		   const struct choice *choice, uint64_t took_us,
--- a/packages/core/chooser.c
+++ b/packages/core/chooser.c
@@ -5,13 +5,13 @@
 
 #include "core/duration.h"
 
-/* Round trip to another region before any was measured: a continent's width. */
+/* Round trip to another region until measured: across a continent. */
 #define LINK_DEFAULT_US (60 * US_PER_MS)
 
-/* Within a region, where nothing was measured. */
+/* Round trip within the region until measured. */
 #define LINK_NEAR_US (1 * US_PER_MS)
 
-/* Weight of one measured round trip. */
+/* Weight of one round trip in the moving average. */
 #define LINK_WEIGHT 0.2
 
 /* Weight of one answer in a service's times and in a server's slowness. */
@@ -21,8 +21,8 @@
 #define SLOWNESS_MAX 20.0
 
 /*
- * Part of the time to an answer that counts as work at least: the wait that was
- * expected for a slot may be more than it was.
+ * Lower bound of the service time, as a fraction of the time to the answer: the
+ * expected wait that is subtracted may exceed the real one.
  */
 #define WORK_FRACTION_MIN 0.2
 
--- a/packages/core/duration.h
+++ b/packages/core/duration.h
@@ -1,5 +1,5 @@
 /*
- * duration - a time span as people write it: "250ms", "2.5s"
+ * duration - time spans as text: "250ms", "2.5s"
  */
 #ifndef CORE_DURATION_H
 #define CORE_DURATION_H
@@ -14,7 +14,7 @@
 #define US_PER_MS UINT64_C(1000)
 #define US_PER_S UINT64_C(1000000)
 
-/* Read the text whole, "ms" or "s"; false where it is no span of 0 to 1 day. */
+/* Parses a number with the unit "ms" or "s"; false unless from 0 s to 1 day. */
 bool duration_parse(const char *text, uint64_t *span_us);
 
 #ifdef __cplusplus
--- a/packages/core/hash.h
+++ b/packages/core/hash.h
@@ -1,5 +1,5 @@
 /*
- * hash - the hashes that nodes must agree on, by xxHash
+ * hash - hashes that are equal on all nodes, by xxHash
  */
 #ifndef CORE_HASH_H
 #define CORE_HASH_H
@@ -10,7 +10,7 @@
 extern "C" {
 #endif
 
-/* Hash of a text. */
+/* Hash of a NUL-terminated string. */
 uint32_t hash_text(const char *text);
 
 /* Hash of two hashes, for rendezvous orders. */
--- a/packages/core/member_table.c
+++ b/packages/core/member_table.c
@@ -149,7 +149,7 @@
 	return !strcmp(member->region, table->self->region);
 }
 
-/* Whether the one reads for the region rather than the other. */
+/* Whether one comes before other in the region's order of readers. */
 static bool is_preferred_reader(const struct member *one,
 				const struct member *other)
 {
@@ -180,7 +180,7 @@
 static bool may_be_live(const struct member_table *table,
 			const struct member *member, uint64_t now_us)
 {
-	/* One that starts as well says for a moment that it takes nothing. */
+	/* A node that has just started sends "leaving" for a moment. */
 	bool is_fresh = member->known_us &&
 			now_us - member->known_us < MEMBER_TIMEOUT_US;
 
@@ -219,7 +219,7 @@
 	return rank;
 }
 
-/* Put it at its place among the first, of which the last may fall out. */
+/* Inserts the member in order; drops the last one if there are max. */
 static uint32_t insert_reader(const struct member **first, uint32_t count,
 			      uint32_t max, const struct member *member)
 {
@@ -296,8 +296,8 @@
 }
 
 /*
- * Place of oneself in the hash's order, among the region's members or all
- * (NULL), dead ones included or not.
+ * Place of this node in the rendezvous order for the hash, among the region's
+ * members (NULL: of all regions), optionally only serving ones.
  */
 static uint32_t rank_among(const struct member_table *table, uint32_t hash,
 			   const char *region, bool live_only, uint64_t now_us)
--- a/packages/core/member_table.h
+++ b/packages/core/member_table.h
@@ -1,8 +1,8 @@
 /*
- * member_table - the nodes that are known, and which of them live
+ * member_table - the known nodes, and which of them are live
  *
- * The platform's table says which nodes there are; beats that nodes pass on to
- * each other say which of them live. A member whose beat number hasn't risen
+ * The platform's table lists the nodes; heartbeats that nodes relay to each
+ * other show which are live. A member whose heartbeat number hasn't increased
  * for MEMBER_TIMEOUT_US counts as dead until it does. Not thread-safe.
  */
 #ifndef CORE_MEMBER_TABLE_H
@@ -19,111 +19,113 @@
 #endif
 
 /*
- * A dead node must leave the look-ups before callers' copies of them name it
- * for long; six beats of 500 ms, so that two lost datagrams in a row on the way
- * over another member don't remove a live one.
+ * Time without a heartbeat after which a member counts as dead. Short, since
+ * callers cache the look-ups that still name it. Six heartbeat intervals of 500
+ * ms, so that two datagrams lost in a row on a relayed path don't remove a live
+ * member.
  */
 #define MEMBER_TIMEOUT_US 3000000ull
 
 struct member {
 	char *name;
-	uint32_t hash; /* of the name, as beats carry it */
+	uint32_t hash; /* of the name; identifies it in heartbeats */
 	char *domain;
 	char *region;
-	struct endpoint front; /* for callers */
-	struct endpoint peer; /* for beats */
-	uint32_t link_mbps; /* of its VM; 0: not said */
-	uint64_t beat; /* highest number heard */
-	uint64_t heard_us; /* when it rose; 0: never */
-	uint64_t known_us; /* when its row was first read */
-	bool leaving;
+	struct endpoint front; /* for callers; port 0: unknown */
+	struct endpoint peer; /* for heartbeats; port 0: unknown */
+	uint32_t link_mbps; /* of its VM; 0: unknown */
+	uint64_t beat; /* highest number received */
+	uint64_t heard_us; /* when that number was received; 0: never */
+	uint64_t known_us; /* when its row was first read; 0: unknown */
+	bool leaving; /* it takes no requests: stops, or still starts */
 };
 
 struct member_table {
-	GHashTable *by_name; /* owns */
+	GHashTable *by_name; /* name -> struct member, owned */
 	struct member *self; /* also in by_name */
 };
 
 struct member_table *member_table_new(const char *self_name);
 void member_table_free(struct member_table *table);
 
-/* The member of this name, made where it is missing. */
+/* Finds the member of this name, or adds it. */
 struct member *member_table_put(struct member_table *table, const char *name);
 struct member *member_table_find(struct member_table *table, const char *name);
 struct member *member_table_find_hash(struct member_table *table,
 				      uint32_t hash);
 
-/* Forget the member; never oneself. */
+/* Removes the member; ignored for this node itself. */
 void member_table_remove(struct member_table *table, const char *name);
 
-/* Take a beat over; whether it was news. */
+/* Stores a received heartbeat; false if its number isn't a new highest one. */
 bool member_note_heartbeat(struct member *member, uint64_t beat, bool leaving,
 			   uint64_t now_us);
 
-/* Whether it takes requests: heard of lately and not leaving. */
+/* Whether it takes requests: live and not leaving. */
 bool member_serves(const struct member_table *table,
 		   const struct member *member, uint64_t now_us);
 
-/* All members known, oneself included. */
+/* Number of members, this node included. */
 uint32_t member_table_count(const struct member_table *table);
 
-/* One number for who is known and where: the same where two nodes agree. */
+/* Digest of members and their addresses, equal on nodes that agree. */
 uint64_t member_table_digest(const struct member_table *table);
 
 /*
- * The members that callers of this region and domain should use: those of the
- * region, else all. At most most entries are stored; returns how many.
+ * The members that callers of a region should use: serving ones of the region,
+ * or all serving ones if there are none. Stores at most max entries, borrowed
+ * from the table, and returns their number.
  */
 uint32_t member_table_entries(const struct member_table *table,
 			      const char *region, uint64_t now_us,
 			      const struct member **entries, uint32_t max);
 
 /*
- * The member of one's own region that reads the platform's tables for all of
- * it: of the live ones with the widest link the one with the lowest hash, since
- * a reader tells all of its region. Members that disagree for a moment read
- * once too often.
+ * The reader of this node's region: the serving member that reads the
+ * platform's tables and sends them to all others of the region. It is the one
+ * with the widest link, then the lowest hash. While members disagree for a
+ * moment, more than one reads, which does no harm.
  */
 const struct member *member_table_reader(const struct member_table *table,
 					 uint64_t now_us);
 
 /*
- * Whether oneself reads for the region. A node that has just started has heard
- * nobody yet: members that it has known for less than MEMBER_TIMEOUT_US count
- * as live, or all that start together would take themselves for the reader.
+ * Whether this node is the reader. Members listed for less than
+ * MEMBER_TIMEOUT_US count as live even without a heartbeat; otherwise all nodes
+ * that start together would take themselves for the reader.
  */
 bool member_table_is_reader(const struct member_table *table, uint64_t now_us);
 
-/* How many of one's own region, dead ones too, come before oneself in that. */
+/* Place of this node in its region's order of readers, with dead members. */
 uint32_t member_table_reader_rank(const struct member_table *table);
 
-/* The first others of one's own region in that order; returns how many. */
+/* The first others in that order, at most max; returns their number. */
 uint32_t member_table_first_readers(const struct member_table *table,
 				    const struct member **first, uint32_t max);
 
 /*
- * A member that this node, which reads for its region, should strike from the
- * platform's table: silent for forget_us, and of this region or of one where
- * nobody lives. NULL if there is none.
+ * A member that this node should delete from the platform's table: without a
+ * heartbeat for forget_us, and of this region or of one without any serving
+ * member. NULL if there is none, or if this node isn't the reader.
  */
 const struct member *member_table_find_expired(const struct member_table *table,
 					       uint64_t forget_us,
 					       uint64_t now_us);
 
 /*
- * Place of oneself in the rendezvous order of all known members for this hash,
- * 0 first. Dead ones keep their place: two sides of a cut must not both think
- * that they are the owner.
+ * Place of this node in the rendezvous order of all members for this hash; 0 is
+ * the first. Dead members keep their places, so that two sides of a network
+ * partition don't both take themselves for the owner.
  */
 uint32_t member_table_rank(const struct member_table *table, uint32_t hash);
 
-/* The same among the live members of one's own region. */
+/* The same among the serving members of this node's region. */
 uint32_t member_table_near_rank(const struct member_table *table, uint32_t hash,
 				uint64_t now_us);
 
 /*
- * The same among the members of this region, dead ones too; UINT32_MAX for one
- * that isn't of it. And how many these are.
+ * The same among all members of the given region, dead ones too; UINT32_MAX if
+ * this node isn't in it. And the number of members there.
  */
 uint32_t member_table_region_rank(const struct member_table *table,
 				  const char *region, uint32_t hash);
@@ -131,8 +133,9 @@
 				   const char *region);
 
 /*
- * One of the first so many of that order that lives and is neither oneself nor
- * of this hash, drawn by spread, 0 to 1; NULL if none does.
+ * One of the first members of that order: a serving one, neither this node nor
+ * the one whose hash is excluded. The search starts at a place given by spread,
+ * a random number from 0 to 1. NULL if there is none.
  */
 const struct member *member_table_region_pick(const struct member_table *table,
 					      const char *region, uint32_t hash,
--- a/packages/core/retry.h
+++ b/packages/core/retry.h
@@ -1,8 +1,8 @@
 /*
- * retry - what follows when a request's send did not bring an answer to deliver
+ * retry - whether a request is sent again when an attempt has failed
  *
- * Pure. A non-idempotent request goes to another backend server only where it
- * is certain that the last one did not run it.
+ * Pure. A non-idempotent request goes to another backend server only if the
+ * previous one certainly didn't run it.
  */
 #ifndef CORE_RETRY_H
 #define CORE_RETRY_H
@@ -16,29 +16,31 @@
 
 enum send_outcome {
 	SEND_UNREACHABLE, /* never left this node */
-	SEND_NOT_EXECUTED, /* the backend server says that it did not run */
-	SEND_FAILED, /* the backend server ran it and failed it (5xx) */
-	SEND_BROKEN, /* no whole answer: it may have run */
+	SEND_NOT_EXECUTED, /* the backend server reports that it didn't run it
+			    */
+	SEND_FAILED, /* the backend server ran it and it failed (5xx) */
+	SEND_BROKEN, /* no complete answer: it may have run */
 };
 
 enum retry_decision {
-	RETRY_FREE, /* try another: nothing arrived anywhere */
-	RETRY_BUDGETED, /* try another if the budget of extra requests allows */
-	RETRY_NONE, /* answer now */
+	RETRY_FREE, /* retry; no server got the request */
+	RETRY_BUDGETED, /* retry if the retry budget (extra_budget) allows */
+	RETRY_NONE, /* don't retry: answer the caller */
 };
 
 struct retry_state {
 	bool idempotent;
 	uint32_t sends; /* requests that left this node */
-	uint32_t max_attempts; /* sends at most */
-	uint32_t unreachable; /* tries that never left */
+	uint32_t max_attempts; /* limit of sends */
+	uint32_t unreachable; /* attempts that failed to connect */
 	uint64_t left_us; /* until the answer is due */
-	uint64_t usual_us; /* usual time of an answer */
+	uint64_t usual_us; /* average time to an answer */
 };
 
-/* Tries that may fail to connect before the request is refused. */
+/* Attempts that may fail to connect before the request is refused. */
 #define RETRY_MAX_UNREACHABLE 3
 
+/* Decides what to do after an attempt of this outcome. */
 enum retry_decision retry_decide(const struct retry_state *state,
 				 enum send_outcome outcome);
 
--- a/packages/core/warmth.c
+++ b/packages/core/warmth.c
@@ -2,17 +2,17 @@
 
 #include "core/duration.h"
 
-/* Pairs that wait to be told, at most; more are found out by trying. */
+/* Unsent updates kept; more are dropped, and peers learn by their requests. */
 #define MAX_UPDATES 4096
 
 /*
- * How much later than expected a first request may end before its pair counts
- * as not warming: the news take a tenth of a second, and expectations are off
- * by a third of a cold run.
+ * How much later than expected a first request may end before its pair no
+ * longer counts as warming. Updates take 100 ms, and expected times are off by
+ * a third of a cold run.
  */
 #define WARMING_GRACE_US (300 * US_PER_MS)
 
-/* Keys and values are pointer-sized: 64 bits on every VM that we run on. */
+/* Keys and values are stored as pointers, which are 64 bits on all VMs used. */
 G_STATIC_ASSERT(sizeof(gpointer) == sizeof(uint64_t));
 
 static gpointer pair_key(struct warm_pair pair)
@@ -115,7 +115,7 @@
 {
 	if (warmth_has(warmth, pair) || warmth_ready_us(warmth, pair, now_us))
 		return;
-	/* Those that ended stay until then; all of them are forgotten. */
+	/* Entries past their time are only removed here, with all others. */
 	if (g_hash_table_size(warmth->warming) >= WARMTH_MAX_ENTRIES)
 		g_hash_table_remove_all(warmth->warming);
 	g_hash_table_insert(warmth->warming, pair_key(pair),
--- a/packages/core/warmth.h
+++ b/packages/core/warmth.h
@@ -1,9 +1,9 @@
 /*
- * warmth - which backend servers handled which object lately, or are about to
+ * warmth - which backend servers have which objects in their caches
  *
- * What this node saw for itself and what its neighbours told it. Bounded: the
- * oldest half goes when the table is full. A server that runs its first request
- * for an object is warming until that is expected to end. Not thread-safe.
+ * A server is warm for an object after it has handled a request for it, and
+ * warming while it runs the first one. Learned from this node's own requests
+ * and from peers. Bounded: a full table drops its oldest half. Not thread-safe.
  */
 #ifndef CORE_WARMTH_H
 #define CORE_WARMTH_H
@@ -16,56 +16,57 @@
 extern "C" {
 #endif
 
-/* Entries of a node: 1 MB of table, 900 objects at each of 36 servers. */
+/* Entries of each table: 1 MB, or 900 objects at each of 36 servers. */
 #define WARMTH_MAX_ENTRIES 32768
 
-/* One object at one life of a backend server, both by their hashes. */
+/* An object (by its hash) at one incarnation of a backend server. */
 struct warm_pair {
-	uint32_t backend;
+	uint32_t backend; /* struct backend: incarnation */
 	uint32_t object;
 };
 
-/* Where a node has a pair from, and so whom it tells of it. */
+/* Where a pair was learned from, and so which peers it is sent to. */
 enum warm_source {
-	WARM_OWN, /* an answer of its own: tell all */
-	WARM_RELAYED, /* a node for which it passes on: tell the region */
-	WARM_RECEIVED, /* another node: nobody */
+	WARM_OWN, /* a request of this node: to all peers */
+	WARM_RELAYED, /* from another region, for this one: to its peers */
+	WARM_RECEIVED, /* from a peer: to nobody */
 };
 
-/* What is to be told of a pair. */
+/* A change of a pair to send to peers. */
 struct warm_update {
 	struct warm_pair pair;
-	uint64_t ready_us; /* when it will be warm; 0: it is */
+	uint64_t ready_us; /* when it is expected to be warm; 0: it is */
 };
 
 struct warmth {
-	GHashTable *seen; /* pair as 64 bits -> clock's ms */
-	GHashTable *warming; /* pair as 64 bits -> clock's ms when it's ready */
-	GArray *news; /* of struct warm_update, not yet told in the region */
-	GArray *far_news; /* not yet told to other regions */
+	GHashTable *seen; /* warm pair as 64 bits -> time in ms */
+	GHashTable *warming; /* pair as 64 bits -> expected end in ms */
+	GArray *news; /* struct warm_update, to be sent within the region */
+	GArray *far_news; /* the same, to other regions */
 };
 
 void warmth_init(struct warmth *warmth);
 void warmth_release(struct warmth *warmth);
 
-/* The server handled the object; what wasn't known goes into the news. */
+/* The server handled the object; queues an update if the pair wasn't warm. */
 void warmth_note(struct warmth *warmth, struct warm_pair pair,
 		 enum warm_source source, uint64_t now_us);
 
 /*
- * The server runs a first request for the object, which is expected to end at
- * ready_us. Of several such, the first counts.
+ * The server runs its first request for the object, expected to end at
+ * ready_us. Ignored if the pair is warm or warming already.
  */
 void warmth_begin(struct warmth *warmth, struct warm_pair pair,
 		  enum warm_source source, uint64_t ready_us, uint64_t now_us);
 
-/* That request failed: nothing is warmed by it. */
+/* The first request failed: the pair isn't warming any more. */
 void warmth_abandon(struct warmth *warmth, struct warm_pair pair);
 
-/* When the pair is expected to be warm; 0: nothing warms it. */
+/* When a warming pair is expected to be warm; 0: it isn't warming. */
 uint64_t warmth_ready_us(const struct warmth *warmth, struct warm_pair pair,
 			 uint64_t now_us);
 
+/* Whether the pair is warm. */
 bool warmth_has(const struct warmth *warmth, struct warm_pair pair);
 
 #ifdef __cplusplus
--- a/packages/core/wire.h
+++ b/packages/core/wire.h
@@ -1,8 +1,8 @@
 /*
- * wire - header names and paths of the product's HTTP, callers' and nodes'
+ * wire - HTTP header names and paths, for callers, nodes and operators
  *
- * docs/API.md describes each; times are microseconds that remain, never dates,
- * because clocks of different machines are never compared.
+ * docs/API.md describes each. Times are remaining microseconds, not points in
+ * time, because clocks of different machines are never compared.
  */
 #ifndef CORE_WIRE_H
 #define CORE_WIRE_H
@@ -24,7 +24,7 @@
 #define WIRE_HEADER_BACKEND "X-Lilac-Backend"
 #define WIRE_HEADER_NODE "X-Lilac-Node"
 
-/* Between nodes: an entry node to the gate of a place */
+/* Between nodes: from an entry node to the gate of a place */
 #define WIRE_PATH_HOP "/v1/hop/"
 #define WIRE_PATH_FENCE "/v1/fence"
 #define WIRE_HEADER_ATTEMPT "X-Lilac-Attempt"
