--- a/packages/core/candidate.c
+++ b/packages/core/candidate.c
@@ -43,8 +43,7 @@
  */
 #define HOLD_GAIN 0.5
 
-/* Nodes that share a cold server's allowance; few, so that shares are usable.
- */
+/* Nodes that share a cold server's allowance; more would get tiny shares. */
 #define COLD_SENDERS 2
 
 /* Cost of a retry at a failure rate of 1, in warm service times. */
@@ -90,21 +89,22 @@
 			const struct service *service,
 			const struct backend *backend, uint64_t now_us)
 {
-	uint32_t most = (uint32_t)fmax(1.0, service->cold_per_s / COLD_SENDERS);
+	uint32_t max_per_s =
+		(uint32_t)fmax(1.0, service->cold_per_s / COLD_SENDERS);
 
 	if (backend->cold_until_us <= now_us)
 		return true;
 	if (member_table_rank(chooser->members, backend->hash) >= COLD_SENDERS)
 		return false;
-	return backend_cold_sends(backend, now_us) < most;
+	return backend_cold_sends(backend, now_us) < max_per_s;
 }
 
 static bool has_suspect(const struct chooser *chooser,
-			const struct backend *backend, bool apart_only,
+			const struct backend *backend, bool isolated_only,
 			uint64_t now_us)
 {
 	return chooser->suspects &&
-	       suspect_runs_on(chooser->suspects, backend->life, apart_only,
+	       suspect_runs_on(chooser->suspects, backend->life, isolated_only,
 			       now_us);
 }
 
--- a/tests/core/choose_test.cc
+++ b/tests/core/choose_test.cc
@@ -1,4 +1,4 @@
-/* The choice of a backend server: filters, cost, cold allowance, regions. */
+/* Tests of choose: filters, costs, cold allowance, regions. */
 #include <gtest/gtest.h>
 
 #include <set>
@@ -62,7 +62,7 @@
 		facts.cold_left_us = cold_us;
 		return backend_table_put(backends, &facts, now_us);
 	}
-	/* How much of the service's requests leaves the region. */
+	/* The service's flow of requests that leave the region. */
 	struct region_flow *chooser_flow(const char *of)
 	{
 		return (struct region_flow *)g_hash_table_lookup(chooser.flows,
@@ -76,7 +76,7 @@
 		return choice;
 	}
 
-	/* It ran the query's object cold, in 900 ms. */
+	/* Reports a cold run of the query's object that took 900 ms. */
 	void learn(struct backend *backend)
 	{
 		struct choice choice = {};
@@ -86,8 +86,7 @@
 			      now_us);
 	}
 
-	/* The members as one of so many, all alive and of one region, has them.
-	 */
+	/* The member table of one of count live nodes in one region. */
 	struct member_table *view_of(int node, int count)
 	{
 		struct member_table *view =
@@ -114,7 +113,7 @@
 	struct choose_query query = {};
 };
 
-TEST_F(ChooseTest, NothingKnownIsToldApartFromNothingFree)
+TEST_F(ChooseTest, NoneKnownAndNoneFreeAreDifferentReasons)
 {
 	EXPECT_EQ(CHOOSE_NONE_KNOWN, choose().reason);
 	struct backend *only = add("i-1");
@@ -127,11 +126,11 @@
 }
 
 /*
- * Requests of a region were counted as leaving it when they had long stopped
- * coming: those that go far wait for a connection to open, which a choice took
- * for nothing. Of two servers alike the one with a connection is the nearer.
+ * Opening a connection costs a further round trip. If a choice doesn't count
+ * it, requests to another region take longer than expected. Of two equal
+ * servers the one with an idle connection is chosen.
  */
-TEST_F(ChooseTest, AConnectionToOpenIsARoundTripMore)
+TEST_F(ChooseTest, OpeningAConnectionCostsARoundTrip)
 {
 	struct backend *servers[] = { add("i-1", "d2", "r2"),
 				      add("i-2", "d2", "r2") };
@@ -175,7 +174,7 @@
 {
 };
 
-TEST_P(FilterTest, NothingPassesIt)
+TEST_P(FilterTest, ExcludesTheServer)
 {
 	const filter_case &c = GetParam();
 	struct backend *only = add("i-1", "d1", c.other_region ? "r2" : "r1");
@@ -194,9 +193,9 @@
 INSTANTIATE_TEST_SUITE_P(Cases, FilterTest, ::testing::ValuesIn(filter_cases),
 			 [](const auto &info) { return info.param.name; });
 
-/* The server that handled the object is chosen again, and by all nodes alike.
+/* An object's server is the same at each choice, before and after its answer.
  */
-TEST_F(ChooseTest, AnObjectStaysWithItsServer)
+TEST_F(ChooseTest, AnObjectKeepsItsServer)
 {
 	for (int i = 0; i < 6; i++)
 		add("i-" + std::to_string(i));
@@ -223,8 +222,8 @@
 	EXPECT_EQ(6u, chosen.size());
 }
 
-/* A full owner hands its object on to the next in the order. */
-TEST_F(ChooseTest, AFullOwnerIsPassedOver)
+/* If the object's server is full, another one is chosen. */
+TEST_F(ChooseTest, AFullOwnerIsSkipped)
 {
 	for (int i = 0; i < 3; i++)
 		add("i-" + std::to_string(i));
@@ -237,11 +236,11 @@
 }
 
 /*
- * A server turned cold. Connections to it take a round trip to open, and the
- * sends that are under way weren't counted: one node alone sent it eleven
- * requests in 150 ms, and it crashed. A request counts when it is chosen.
+ * A request uses a cold server's allowance as soon as the server is chosen. If
+ * it counted only when sent, after a connection has opened, one node could send
+ * eleven requests in 150 ms, and the server would crash.
  */
-TEST_F(ChooseTest, AColdServersAllowanceIsClaimedAtTheChoice)
+TEST_F(ChooseTest, AChoiceUsesTheColdAllowance)
 {
 	struct backend *cold = add("i-1", "d1", "r1", 3 * US_PER_S);
 	int sent = 0;
@@ -264,8 +263,9 @@
 }
 
 /*
- * A cold server's allowance is shared by two of all known nodes, living or not:
- * if each side of a cut counted only the nodes that it hears, both would send.
+ * A cold server's allowance is shared by two of all known nodes, live or dead.
+ * If only live ones counted, both sides of a network partition would use all of
+ * it.
  */
 TEST_F(ChooseTest, OnlyTwoNodesSendToAColdServer)
 {
@@ -283,8 +283,8 @@
 	EXPECT_EQ(2, owners);
 }
 
-/* A server that joins has none of the objects, and is tried all the same. */
-TEST_F(ChooseTest, AServerThatJoinsGetsARequest)
+/* A new server gets one trial request although its cache is empty. */
+TEST_F(ChooseTest, ANewServerGetsATrialRequest)
 {
 	struct backend *old = add("i-1");
 
@@ -299,12 +299,12 @@
 }
 
 /*
- * Servers start together with the nodes, so that most join after the list was
- * first read. Each node gave each of them a first request: with many nodes, a
- * fifth of all callers met a server that is cold for their object while another
- * was warm. One node of a region begins with a server, whichever it is.
+ * Only one node of a region sends a new server its first request. Servers start
+ * together with the nodes, so that most of them count as new: if each node sent
+ * each of them a trial, a fifth of all callers would get a cold server while
+ * another one is warm.
  */
-TEST_F(ChooseTest, FewNodesBeginWithAServerThatJoins)
+TEST_F(ChooseTest, OneNodeSendsTheFirstTrialRequest)
 {
 	int began = 0;
 
@@ -322,8 +322,8 @@
 	EXPECT_EQ(1, began);
 }
 
-/* A server that joined long ago, and that nobody needed, is not tried. */
-TEST_F(ChooseTest, AServerIsANewcomerForAWhileOnly)
+/* A server that was added long ago gets no trial request as a new one. */
+TEST_F(ChooseTest, AServerIsNewForALimitedTime)
 {
 	struct backend *old = add("i-1");
 
@@ -335,11 +335,11 @@
 }
 
 /*
- * A burst fills the only server's queue past the objective. Whoever joins the
- * queue is late, and so is everybody after; the burst was over in 3 s and the
- * answers were late for 10. One that would queue so long is refused at once.
+ * A burst fills the only server's queue beyond the objective. A request that
+ * would miss the objective in the queue is refused at once; if it were queued,
+ * all later ones would be late, too: for 10 s after a burst of 3 s.
  */
-TEST_F(ChooseTest, NobodyQueuesPastTheObjective)
+TEST_F(ChooseTest, NoRequestQueuesBeyondTheObjective)
 {
 	struct backend *only = add("i-1");
 	struct service_times *times =
@@ -350,7 +350,7 @@
 	times->warm_us = 500 * US_PER_MS;
 	for (int i = 0; i < 7; i++)
 		backend_begin(only, times->warm_us, now_us);
-	EXPECT_EQ(only, choose().backend) << "its times aren't known yet";
+	EXPECT_EQ(only, choose().backend) << "too few samples to refuse";
 	times->samples = 100;
 	struct choice choice = choose();
 	EXPECT_EQ(CHOOSE_NONE_FREE, choice.reason);
@@ -364,18 +364,18 @@
 struct hold_case {
 	const char *name;
 	uint32_t in_flight; /* at the server that runs the first request */
-	uint64_t ready_ms; /* until that ends */
-	double cold_ms; /* a warm one takes 200 ms */
+	uint64_t ready_ms; /* until the first request is expected to end */
+	double cold_ms; /* time of a cold run; a warm one takes 200 ms */
 	uint64_t left_ms;
 	choose_reason reason;
 };
 
 const hold_case hold_cases[] = {
-	{ "ASlotIsFree", 3, 300, 700, 2000, CHOOSE_RANK },
-	{ "SlotsAreTaken", 4, 300, 700, 2000, CHOOSE_HOLD },
-	{ "ItEndsAtOnce", 4, 0, 700, 2000, CHOOSE_HOLD },
-	{ "ColdIsNoSlower", 4, 300, 220, 2000, CHOOSE_RANK },
-	{ "ItWouldMissItsDeadline", 4, 1900, 700, 2000, CHOOSE_NONE_FREE },
+	{ "SlotFree", 3, 300, 700, 2000, CHOOSE_RANK },
+	{ "SlotsTaken", 4, 300, 700, 2000, CHOOSE_HOLD },
+	{ "FirstRequestEndsNow", 4, 0, 700, 2000, CHOOSE_HOLD },
+	{ "ColdRunHardlySlower", 4, 300, 220, 2000, CHOOSE_RANK },
+	{ "HoldMissesDeadline", 4, 1900, 700, 2000, CHOOSE_NONE_FREE },
 };
 
 class HoldTest : public ChooseTest,
@@ -384,10 +384,11 @@
 };
 
 /*
- * An object's first request runs, and all slots of its server are taken. The
- * next ones for that object ran cold behind it, at a third of the slots' worth.
+ * An object's first request is running, and all slots of its server are taken.
+ * Further requests for the object are held; sent at once they would run cold,
+ * too, and the slots would do a third of the work.
  */
-TEST_P(HoldTest, ForAServerThatIsAboutToBeWarm)
+TEST_P(HoldTest, WaitsForAServerThatIsWarming)
 {
 	const hold_case &c = GetParam();
 	struct backend *only = add("i-1");
@@ -416,7 +417,7 @@
 	uint32_t at_owner; /* requests at the server that has the object warm */
 	uint32_t at_other; /* and at the one that hasn't */
 	double owner_slowness;
-	bool moves; /* to the other */
+	bool moves; /* the request goes to the other one */
 };
 
 const spill_case spill_cases[] = {
@@ -434,10 +435,10 @@
 };
 
 /*
- * Many callers come at once, and each object's server has a queue. Sent to
- * others, which are busy too and have the objects cold, requests held slots
- * three times as long; the queues grew until runs ended at their deadline. A
- * busy server is left to its own objects.
+ * A busy server runs no request cold that another server could run warm. Under
+ * a burst each object's server has a queue; requests moved to other busy
+ * servers would hold slots three times as long, and queues would grow until
+ * requests miss their deadlines.
  */
 TEST_P(SpillTest, ABusyServerRunsNothingColdThatIsWarmElsewhere)
 {
@@ -466,11 +467,11 @@
 			 [](const auto &info) { return info.param.name; });
 
 /*
- * An operator asks where an object goes while its server is full: "where" named
- * a busy one, cheapest by its times, that a choice passes over since it would
- * run the object cold. What is told is what is chosen.
+ * The command "where" names the server that a choice takes. It must apply the
+ * same rule for cold runs: otherwise, while an object's server is full, it
+ * names a busy one that a choice skips.
  */
-TEST_P(SpillTest, WhatIsExplainedIsWhatIsChosen)
+TEST_P(SpillTest, TheExplanationMatchesTheChoice)
 {
 	const spill_case &c = GetParam();
 	struct backend *owner = add("i-1");
@@ -497,11 +498,11 @@
 }
 
 /*
- * Home is full of a sudden. The share that leaves the region moves by steps, so
- * that far servers aren't hit by all of it at once; where a server at home was
- * lost, it may.
+ * When the servers of this region suddenly fill up, the share that leaves it
+ * grows in bounded steps, so that other regions don't get all of it at once.
+ * After the loss of a server of this region the limit doesn't apply.
  */
-TEST_F(ChooseTest, ARegionsShareLeavesBySteps)
+TEST_F(ChooseTest, TheShareThatLeavesGrowsInSteps)
 {
 	struct backend *home = add("i-1", "d1", "r1");
 	int left = 0;
@@ -536,8 +537,11 @@
 	EXPECT_EQ(10, left);
 }
 
-/* All servers named a rate: a region's requests don't all cross at once. */
-TEST_F(ChooseTest, TokensOfAnotherRegionAreAskedForAsFarAsTheShareGoes)
+/*
+ * All servers are rate limited. Tokens of a server in another region are
+ * requested only for the share of requests that may leave this region.
+ */
+TEST_F(ChooseTest, FarTokensAreRequestedOnlyForTheShareThatLeaves)
 {
 	struct backend *far = add("f-1", "d3", "r2");
 	struct rate_limit *near = &add("i-1")->limit;
--- a/tests/core/edge_core_test.cc
+++ b/tests/core/edge_core_test.cc
@@ -1,4 +1,4 @@
-/* The small decisions of the data path, each by its table of cases. */
+/* Tests of small modules of the data path. */
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -26,7 +26,7 @@
 	uint64_t us;
 };
 
-TEST(DurationTest, ReadsSpans)
+TEST(DurationTest, ParsesSpans)
 {
 	const span_case cases[] = {
 		{ "250ms", true, 250000 }, { "2.5s", true, 2500000 },
@@ -110,7 +110,7 @@
 	}
 }
 
-TEST_F(RouteTableTest, WhatIsMalformedIsRefused)
+TEST_F(RouteTableTest, AMalformedPrefixIsRefused)
 {
 	ASSERT_TRUE(route_table_finish(table, nullptr));
 	add("bare", "h.example", "/a", "s");
@@ -128,7 +128,7 @@
 	g_error_free(error);
 }
 
-/* Any run of requests is split by the weights, short of one request. */
+/* After any number of requests the split is off by at most one request. */
 TEST_F(RouteTableTest, ASplitKeepsItsWeights)
 {
 	struct route *route = add("split", "h.example", "/s/", "s");
@@ -153,12 +153,12 @@
 	enum retry_decision step;
 };
 
-TEST(RetryTest, OnlyWhatMayRunTwiceIsSentTwice)
+TEST(RetryTest, OnlyRequestsThatMayRunTwiceAreRetried)
 {
 	const retry_case cases[] = {
-		{ "unreachable costs nothing", false, 0, 1, 900,
-		  SEND_UNREACHABLE, RETRY_FREE },
-		{ "but not for ever", false, 0, 3, 900, SEND_UNREACHABLE,
+		{ "unreachable: free retry", false, 0, 1, 900, SEND_UNREACHABLE,
+		  RETRY_FREE },
+		{ "unreachable three times", false, 0, 3, 900, SEND_UNREACHABLE,
 		  RETRY_NONE },
 		{ "not executed: another server", false, 1, 0, 900,
 		  SEND_NOT_EXECUTED, RETRY_BUDGETED },
@@ -188,8 +188,8 @@
 	}
 }
 
-/* Over any window the extra requests stay under the bound, nodes together. */
-TEST(ExtraBudgetTest, TheBoundHoldsInEveryWindow)
+/* In any window the extra requests of all nodes together keep the limit. */
+TEST(ExtraBudgetTest, TheLimitHoldsInEveryWindow)
 {
 	const struct extra_budget_rule rule = { 0.2, 50, 10 * US_PER_S };
 	std::vector<uint64_t> taken;
@@ -225,7 +225,7 @@
 	}
 }
 
-/* Whether a request leaves, by what it prefers and its object, if any. */
+/* Whether a request with this preference and object (or none) leaves. */
 bool leaves(struct region_flow *flow, bool prefers, uint64_t now_us,
 	    const uint32_t *object = nullptr, bool free = false)
 {
@@ -236,8 +236,8 @@
 	return region_flow_leave(flow, &request, now_us);
 }
 
-/* From one window of 2 s to the next the share moves by less than 0.15. */
-TEST(RegionFlowTest, TheShareMovesByBoundedSteps)
+/* Between two windows of 2 s the share changes by at most 0.15. */
+TEST(RegionFlowTest, TheShareChangesInBoundedSteps)
 {
 	struct region_flow flow;
 	std::vector<int> windows;
@@ -260,7 +260,7 @@
 		EXPECT_LE(abs(windows[i] - windows[i - 1]), 0.15 * 200) << i;
 }
 
-TEST(RegionFlowTest, AfterALossItMovesFreely)
+TEST(RegionFlowTest, AfterALossThereIsNoLimit)
 {
 	struct region_flow flow;
 
@@ -271,11 +271,12 @@
 }
 
 /*
- * Half of a region's requests have to leave it. Each object keeps to one side:
- * with requests drawn by chance, half of them met servers that another region
- * warms for their object, and now 2 in 100 do.
+ * Half of a region's requests have to leave it, and each object's requests
+ * mostly stay on one side. If requests were drawn at random, half of them would
+ * reach servers whose caches another region fills for the object; this way 2 in
+ * 100 do.
  */
-TEST(RegionFlowTest, ObjectsLeaveRatherThanRequests)
+TEST(RegionFlowTest, WholeObjectsLeave)
 {
 	std::map<uint32_t, std::array<int, 2>> sides;
 	struct region_flow flow;
@@ -303,10 +304,11 @@
 }
 
 /*
- * One object has a third of the requests, and the share passes its place: were
- * it to leave at once, a third of all would change region within a window.
+ * One object has a third of the requests and its place in the order comes
+ * within the share. It must leave in steps, or a third of all requests would
+ * change region within one window.
  */
-TEST(RegionFlowTest, AnObjectOfManyRequestsLeavesBySteps)
+TEST(RegionFlowTest, AnObjectWithManyRequestsLeavesInSteps)
 {
 	struct region_flow flow;
 	std::vector<int> windows;
@@ -367,24 +369,24 @@
 	struct member_table *table;
 };
 
-TEST_F(MemberTableTest, AMemberLivesWhileItsBeatsRise)
+TEST_F(MemberTableTest, AMemberIsLiveWhileItsHeartbeatIncreases)
 {
 	struct member *b = member_table_find(table, "b");
 
-	EXPECT_EQ(1u, entries("r1")) << "b was never heard of";
+	EXPECT_EQ(1u, entries("r1")) << "no heartbeat of b";
 	EXPECT_TRUE(member_note_heartbeat(b, 10, false, now_us));
 	EXPECT_EQ(2u, entries("r1"));
 	now_us += MEMBER_TIMEOUT_US;
 	EXPECT_FALSE(member_note_heartbeat(b, 10, false, now_us))
-		<< "an old beat";
+		<< "an old heartbeat";
 	EXPECT_EQ(1u, entries("r1"));
 	EXPECT_TRUE(member_note_heartbeat(b, 11, false, now_us));
 	EXPECT_EQ(2u, entries("r1"));
 	member_note_heartbeat(b, 12, true, now_us);
-	EXPECT_EQ(1u, entries("r1")) << "it leaves";
+	EXPECT_EQ(1u, entries("r1")) << "b is leaving";
 }
 
-TEST_F(MemberTableTest, CallersOfARegionWithoutNodesGetTheOthers)
+TEST_F(MemberTableTest, CallersOfARegionWithoutNodesGetAllNodes)
 {
 	EXPECT_EQ(1u, entries("r9"));
 	member_note_heartbeat(member_table_find(table, "c"), 1, false, now_us);
@@ -392,8 +394,8 @@
 	EXPECT_EQ(1u, entries("r2"));
 }
 
-/* One live node of a region reads for it; the next one when it falls silent. */
-TEST_F(MemberTableTest, OneOfARegionReads)
+/* A region has one reader; when it times out the next node takes over. */
+TEST_F(MemberTableTest, ARegionHasOneReader)
 {
 	struct member *b = member_table_find(table, "b");
 
@@ -405,8 +407,8 @@
 	EXPECT_EQ(table->self, member_table_reader(table, now_us));
 }
 
-/* What it tells goes to all of its region: a wide link comes first. */
-TEST_F(MemberTableTest, TheWidestLinkReads)
+/* A reader sends to its whole region, so the widest link comes first. */
+TEST_F(MemberTableTest, TheNodeWithTheWidestLinkIsTheReader)
 {
 	struct member *b = member_table_find(table, "b");
 	struct member *d = place("d", "r1");
@@ -434,11 +436,11 @@
 }
 
 /*
- * All nodes of a region start at once and have heard nobody yet. Each took
- * itself for the region's reader and called the store, until the first beats
- * were there.
+ * All nodes of a region start together, without any heartbeat received. If
+ * members without a heartbeat counted as dead, each node would take itself for
+ * the reader and call the store until heartbeats arrive.
  */
-TEST_F(MemberTableTest, ANodeThatHasJustStartedIsNoReaderYet)
+TEST_F(MemberTableTest, ANodeThatHasJustStartedIsNotTheReader)
 {
 	struct member *b = member_table_find(table, "b");
 
@@ -447,9 +449,11 @@
 	b->known_us = now_us;
 	EXPECT_FALSE(member_table_is_reader(table, now_us));
 	member_note_heartbeat(b, 1, true, now_us);
-	EXPECT_FALSE(member_table_is_reader(table, now_us)) << "b starts, too";
+	EXPECT_FALSE(member_table_is_reader(table, now_us))
+		<< "b is starting, too";
 	now_us += MEMBER_TIMEOUT_US;
-	EXPECT_TRUE(member_table_is_reader(table, now_us)) << "b never came";
+	EXPECT_TRUE(member_table_is_reader(table, now_us))
+		<< "no heartbeat of b in time";
 	member_note_heartbeat(b, 2, false, now_us);
 	EXPECT_FALSE(member_table_is_reader(table, now_us));
 	table->self->link_mbps = 1;
@@ -459,10 +463,10 @@
 }
 
 /*
- * 82 nodes are replaced a day. A row of one that is gone would keep its part of
- * the extra requests, and be an owner of cold servers, for ever.
+ * 82 nodes are replaced a day. If the row of a lost node stayed, it would keep
+ * its share of the retry budget and of cold servers' allowances for ever.
  */
-TEST_F(MemberTableTest, ANodeThatIsLostIsStruckByItsRegionsReader)
+TEST_F(MemberTableTest, ALostNodeIsRemovedByItsRegionsReader)
 {
 	const uint64_t forget_us = 600 * US_PER_S;
 	struct member *b = member_table_find(table, "b");
@@ -478,14 +482,14 @@
 	member_table_remove(table, "b");
 	now_us += forget_us;
 	EXPECT_EQ(c, member_table_find_expired(table, forget_us, now_us))
-		<< "nobody lives in its region";
+		<< "no live node in its region";
 	place("d", "r2");
 	member_note_heartbeat(member_table_find(table, "d"), 1, false, now_us);
 	EXPECT_EQ(nullptr, member_table_find_expired(table, forget_us, now_us))
-		<< "its own region's reader strikes it";
+		<< "left to its own region's reader";
 }
 
-TEST(WarmthTest, TheTableStaysBounded)
+TEST(WarmthTest, TheTableIsBounded)
 {
 	struct warmth warmth;
 
@@ -503,7 +507,7 @@
 	warmth_release(&warmth);
 }
 
-/* A first request begins, and ends well, badly, or is never heard of again. */
+/* A first request starts, and succeeds, fails or never ends. */
 TEST(WarmthTest, APairIsWarmingUntilItsFirstRequestEnds)
 {
 	const struct warm_pair well = { 1, 1 };
@@ -523,20 +527,20 @@
 	}
 	EXPECT_EQ(3u, warmth.news->len);
 	warmth_begin(&warmth, well, WARM_OWN, ready_us + 1000, now_us);
-	EXPECT_EQ(3u, warmth.news->len) << "the first one counts";
+	EXPECT_EQ(3u, warmth.news->len) << "already warming";
 	warmth_note(&warmth, well, WARM_OWN, ready_us);
 	EXPECT_TRUE(warmth_has(&warmth, well));
 	EXPECT_EQ(0u, warmth_ready_us(&warmth, well, ready_us));
-	EXPECT_EQ(4u, warmth.news->len) << "that it's warm is news";
+	EXPECT_EQ(4u, warmth.news->len) << "an update: it is warm";
 	warmth_begin(&warmth, well, WARM_OWN, ready_us, now_us);
-	EXPECT_EQ(4u, warmth.news->len) << "it is warm already";
+	EXPECT_EQ(4u, warmth.news->len) << "already warm";
 	warmth_abandon(&warmth, badly);
 	EXPECT_EQ(0u, warmth_ready_us(&warmth, badly, now_us));
 	EXPECT_EQ(0u, warmth_ready_us(&warmth, lost, ready_us + US_PER_S));
 	warmth_release(&warmth);
 }
 
-TEST(BackendTableTest, NodesThatBelieveTheSameHaveTheSameDigest)
+TEST(BackendTableTest, NodesWithTheSameDataHaveTheSameDigest)
 {
 	struct backend_table *a = backend_table_new();
 	struct backend_table *b = backend_table_new();
@@ -567,12 +571,12 @@
 }
 
 /*
- * A server crashes and is back under its id within its heartbeats. It has an
- * empty cache and no requests; failures and load of the life before made it
- * look bad, its warm objects look fast. What it may get while it is cold goes
- * on from what the life before got in that second.
+ * A server crashes and restarts under its id before its heartbeats time out. It
+ * starts with an empty cache and no requests, so failures, load and warm
+ * objects of the previous incarnation don't count. Only the log of cold sends
+ * is carried over.
  */
-TEST(BackendTableTest, ALaterStartUnderTheIdIsAnotherServer)
+TEST(BackendTableTest, ARestartUnderTheSameIdIsANewIncarnation)
 {
 	struct backend_table *table = backend_table_new();
 	struct backend_info facts = {};
@@ -598,7 +602,7 @@
 	EXPECT_NE(before, again);
 	EXPECT_TRUE(before->gone);
 	EXPECT_NE(before->life, again->life);
-	EXPECT_EQ(before->hash, again->hash) << "objects keep their order";
+	EXPECT_EQ(before->hash, again->hash) << "the rendezvous order stays";
 	EXPECT_EQ(0, backend_load(again, now_us));
 	EXPECT_EQ(0, again->failures);
 	EXPECT_EQ(0u, again->shun_until_us);
@@ -616,8 +620,8 @@
 	backend_table_free(table);
 }
 
-/* A report is old soon; neighbours' words replace each other, by sender. */
-TEST(BackendTableTest, LoadIsOwnAndOthers)
+/* Reported load decays; a peer's reports can be cleared by sender. */
+TEST(BackendTableTest, LoadIncludesOtherNodesRequests)
 {
 	struct backend_table *table = backend_table_new();
 	struct backend_info facts = {};
@@ -642,11 +646,11 @@
 	backend_table_free(table);
 }
 
-/* Rows of one server in the order in which they come, and what is believed. */
+/* A row of the server as received, and the state that the table then has. */
 struct row_step {
 	uint64_t version;
-	char says; /* 'r'eady, 'd'raining, 'g'one */
-	char believed;
+	char state; /* 'r'eady, 'd'raining, 'g'one */
+	char expected; /* state in the table */
 };
 
 struct row_case {
@@ -656,14 +660,14 @@
 
 const row_case row_cases[] = {
 	{ "InOrder", { { 3, 'r', 'r' }, { 5, 'd', 'd' }, { 9, 'g', 'g' } } },
-	{ "AnOlderRowThatIsReady", { { 5, 'd', 'd' }, { 3, 'r', 'd' } } },
-	{ "AnOlderRowOfOneThatLeft",
+	{ "OlderRowReady", { { 5, 'd', 'd' }, { 3, 'r', 'd' } } },
+	{ "OlderRowOfARemovedServer",
 	  { { 3, 'r', 'r' }, { 9, 'g', 'g' }, { 5, 'd', 'g' } } },
-	{ "AnOlderRowOfOneNeverSeen", { { 9, 'g', 'g' }, { 5, 'r', 'g' } } },
-	{ "AnOlderRemoval", { { 9, 'r', 'r' }, { 5, 'g', 'r' } } },
-	{ "BackAfterALapse",
+	{ "OlderRowOfAnUnknownServer", { { 9, 'g', 'g' }, { 5, 'r', 'g' } } },
+	{ "OlderRemoval", { { 9, 'r', 'r' }, { 5, 'g', 'r' } } },
+	{ "ListedAgainAfterRemoval",
 	  { { 3, 'r', 'r' }, { 5, 'g', 'g' }, { 6, 'r', 'r' } } },
-	{ "TheSameAgain", { { 5, 'd', 'd' }, { 5, 'd', 'd' } } },
+	{ "SameRowAgain", { { 5, 'd', 'd' }, { 5, 'd', 'd' } } },
 	{ "WithoutVersions",
 	  { { 0, 'd', 'd' },
 	    { 0, 'r', 'r' },
@@ -675,7 +679,7 @@
 {
 };
 
-TEST_P(RowTest, TheNewestRowIsBelieved)
+TEST_P(RowTest, TheNewestRowWins)
 {
 	struct backend_table *table = backend_table_new();
 	struct backend_info facts = {};
@@ -687,15 +691,15 @@
 	facts.region = "r1";
 	for (const row_step &step : GetParam().steps) {
 		facts.version = step.version;
-		facts.draining = step.says == 'd';
-		if (step.says == 'g')
+		facts.draining = step.state == 'd';
+		if (step.state == 'g')
 			backend_table_remove(table, "i-1", step.version, 0,
 					     now_us);
 		else
 			backend_table_put(table, &facts, now_us);
 		const struct backend *known = backend_table_find(table, "i-1");
-		char believed = !known ? 'g' : known->draining ? 'd' : 'r';
-		EXPECT_EQ(step.believed, believed) << step.version;
+		char state = !known ? 'g' : known->draining ? 'd' : 'r';
+		EXPECT_EQ(step.expected, state) << step.version;
 		now_us++;
 	}
 	backend_table_free(table);
