--- a/packages/core/backend_table.c
+++ b/packages/core/backend_table.c
@@ -82,20 +82,19 @@
 }
 
 static struct backend *add(struct backend_table *table,
-			   const struct backend_info *facts, uint64_t now_us)
+			   const struct backend_info *info, uint64_t now_us)
 {
 	struct backend *backend = g_new0(struct backend, 1);
-	GPtrArray *list =
-		g_hash_table_lookup(table->by_service, facts->service);
+	GPtrArray *list = g_hash_table_lookup(table->by_service, info->service);
 
 	backend->references = 1;
-	backend->id = g_strdup(facts->id);
-	backend->hash = hash_text(facts->id);
-	backend->life = incarnation_of(backend->hash, facts->started_ms);
-	backend->started_ms = facts->started_ms;
-	backend->service = g_strdup(facts->service);
-	backend->domain = g_strdup(facts->domain);
-	backend->region = g_strdup(facts->region);
+	backend->id = g_strdup(info->id);
+	backend->hash = hash_text(info->id);
+	backend->life = incarnation_of(backend->hash, info->started_ms);
+	backend->started_ms = info->started_ms;
+	backend->service = g_strdup(info->service);
+	backend->domain = g_strdup(info->domain);
+	backend->region = g_strdup(info->region);
 	backend->slowness = 1.0;
 	backend->joined_us = table->whole ? now_us : 0;
 	g_hash_table_insert(table->by_id, backend->id, backend);
@@ -103,7 +102,7 @@
 			     backend);
 	if (!list) {
 		list = g_ptr_array_new();
-		g_hash_table_insert(table->by_service, g_strdup(facts->service),
+		g_hash_table_insert(table->by_service, g_strdup(info->service),
 				    list);
 	}
 	g_ptr_array_add(list, backend);
@@ -124,13 +123,13 @@
 }
 
 static bool info_differs(const struct backend *backend,
-			 const struct backend_info *facts)
+			 const struct backend_info *info)
 {
-	return !backend->slots || backend->slots != facts->slots ||
-	       backend->draining != facts->draining ||
-	       backend->listed_cold != (facts->cold_left_us > 0) ||
-	       backend->address.port != facts->address.port ||
-	       strcmp(backend->address.address, facts->address.address) != 0;
+	return !backend->slots || backend->slots != info->slots ||
+	       backend->draining != info->draining ||
+	       backend->listed_cold != (info->cold_left_us > 0) ||
+	       backend->address.port != info->address.port ||
+	       strcmp(backend->address.address, info->address.address) != 0;
 }
 
 uint64_t backend_table_digest(const struct backend_table *table)
@@ -142,10 +141,10 @@
 	g_hash_table_iter_init(&iter, table->by_id);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct backend *backend = value;
-		uint32_t facts = backend->slots << 2 | backend->draining << 1 |
+		uint32_t state = backend->slots << 2 | backend->draining << 1 |
 				 backend->listed_cold;
 
-		digest += hash_pair(backend->life, facts);
+		digest += hash_pair(backend->life, state);
 	}
 	return digest;
 }
@@ -183,14 +182,13 @@
  */
 static struct backend *restart(struct backend_table *table,
 			       struct backend *before,
-			       const struct backend_info *facts,
-			       uint64_t now_us)
+			       const struct backend_info *info, uint64_t now_us)
 {
 	struct backend *backend;
 
 	backend_ref(before);
 	remove_from_table(table, before, now_us);
-	backend = add(table, facts, now_us);
+	backend = add(table, info, now_us);
 	memcpy(backend->cold_log, before->cold_log, sizeof(backend->cold_log));
 	backend->cold_next = before->cold_next;
 	backend_unref(before);
@@ -198,42 +196,42 @@
 }
 
 bool backend_table_knows_newer(const struct backend_table *table,
-			       const struct backend_info *facts)
+			       const struct backend_info *info)
 {
-	const struct backend *known = backend_table_find(table, facts->id);
+	const struct backend *known = backend_table_find(table, info->id);
 
 	if (!known)
-		return facts->version &&
-		       facts->version <
-			       backend_table_removed_version(table, facts->id);
-	return facts->started_ms < known->started_ms ||
-	       (facts->version && facts->version < known->version);
+		return info->version &&
+		       info->version <
+			       backend_table_removed_version(table, info->id);
+	return info->started_ms < known->started_ms ||
+	       (info->version && info->version < known->version);
 }
 
 struct backend *backend_table_put(struct backend_table *table,
-				  const struct backend_info *facts,
+				  const struct backend_info *info,
 				  uint64_t now_us)
 {
-	struct backend *backend = backend_table_find(table, facts->id);
+	struct backend *backend = backend_table_find(table, info->id);
 
-	if (backend_table_knows_newer(table, facts))
+	if (backend_table_knows_newer(table, info))
 		return backend;
 	if (!backend)
-		backend = add(table, facts, now_us);
-	else if (facts->started_ms > backend->started_ms)
-		backend = restart(table, backend, facts, now_us);
-	if (info_differs(backend, facts))
-		note_change(table, facts->id);
-	if (facts->draining && !backend->draining)
+		backend = add(table, info, now_us);
+	else if (info->started_ms > backend->started_ms)
+		backend = restart(table, backend, info, now_us);
+	if (info_differs(backend, info))
+		note_change(table, info->id);
+	if (info->draining && !backend->draining)
 		table->disturbed_us = now_us;
-	backend->address = facts->address;
-	backend->slots = facts->slots ? facts->slots : 1;
-	backend->version = MAX(backend->version, facts->version);
-	backend->draining = facts->draining;
+	backend->address = info->address;
+	backend->slots = info->slots ? info->slots : 1;
+	backend->version = MAX(backend->version, info->version);
+	backend->draining = info->draining;
 	backend->lapsed_us = 0;
-	backend->listed_cold = facts->cold_left_us > 0;
+	backend->listed_cold = info->cold_left_us > 0;
 	backend->cold_until_us =
-		facts->cold_left_us ? now_us + facts->cold_left_us : 0;
+		info->cold_left_us ? now_us + info->cold_left_us : 0;
 	return backend;
 }
 
@@ -311,9 +309,11 @@
 }
 
 struct backend *
-backend_table_find_incarnation(const struct backend_table *table, uint32_t life)
+backend_table_find_incarnation(const struct backend_table *table,
+			       uint32_t incarnation)
 {
-	return g_hash_table_lookup(table->by_life, GUINT_TO_POINTER(life));
+	return g_hash_table_lookup(table->by_life,
+				   GUINT_TO_POINTER(incarnation));
 }
 
 const GPtrArray *backend_table_by_service(const struct backend_table *table,
@@ -464,10 +464,11 @@
 	uint32_t i;
 
 	for (i = 0; i < BACKEND_MAX_PEER_LOADS; i++) {
-		const struct backend_peer_load *word = &backend->told[i];
+		const struct backend_peer_load *report = &backend->told[i];
 
-		if (word->at_us && now_us - word->at_us < PEER_LOAD_VALID_US)
-			load += word->in_flight;
+		if (report->at_us &&
+		    now_us - report->at_us < PEER_LOAD_VALID_US)
+			load += report->in_flight;
 	}
 	return load;
 }
--- a/packages/core/backend_table.h
+++ b/packages/core/backend_table.h
@@ -132,12 +132,12 @@
  * Returns NULL where a newer version removed the server.
  */
 struct backend *backend_table_put(struct backend_table *table,
-				  const struct backend_info *facts,
+				  const struct backend_info *info,
 				  uint64_t now_us);
 
 /* Whether the table has newer data than this row, which is then ignored. */
 bool backend_table_knows_newer(const struct backend_table *table,
-			       const struct backend_info *facts);
+			       const struct backend_info *info);
 
 /*
  * Removes a server that the list of this version (0: unknown) lacks; ignored
@@ -160,7 +160,7 @@
 				   const char *id);
 struct backend *
 backend_table_find_incarnation(const struct backend_table *table,
-			       uint32_t life);
+			       uint32_t incarnation);
 
 /* The service's backend servers (struct backend), or NULL. */
 const GPtrArray *backend_table_by_service(const struct backend_table *table,
--- a/packages/core/candidate.c
+++ b/packages/core/candidate.c
@@ -136,10 +136,10 @@
 /* Rendezvous score, weighted by slots; a larger score ranks first. */
 static double rendezvous(const struct backend *backend, uint32_t object)
 {
-	double part = ((double)hash_pair(backend->hash, object) + 1.0) /
-		      18446744073709551617.0;
+	double uniform = ((double)hash_pair(backend->hash, object) + 1.0) /
+			 18446744073709551617.0;
 
-	return -(double)backend->slots / log(part);
+	return -(double)backend->slots / log(uniform);
 }
 
 /*
--- a/packages/core/member_table.c
+++ b/packages/core/member_table.c
@@ -68,12 +68,12 @@
 		g_hash_table_remove(table->by_name, name);
 }
 
-bool member_note_heartbeat(struct member *member, uint64_t beat, bool leaving,
-			   uint64_t now_us)
+bool member_note_heartbeat(struct member *member, uint64_t heartbeat,
+			   bool leaving, uint64_t now_us)
 {
-	if (beat <= member->beat)
+	if (heartbeat <= member->beat)
 		return false;
-	member->beat = beat;
+	member->beat = heartbeat;
 	member->leaving = leaving;
 	member->heard_us = now_us;
 	return true;
--- a/packages/core/member_table.h
+++ b/packages/core/member_table.h
@@ -58,8 +58,8 @@
 void member_table_remove(struct member_table *table, const char *name);
 
 /* Stores a received heartbeat; false if its number isn't a new highest one. */
-bool member_note_heartbeat(struct member *member, uint64_t beat, bool leaving,
-			   uint64_t now_us);
+bool member_note_heartbeat(struct member *member, uint64_t heartbeat,
+			   bool leaving, uint64_t now_us);
 
 /* Whether it takes requests: live and not leaving. */
 bool member_serves(const struct member_table *table,
--- a/packages/core/warmth.c
+++ b/packages/core/warmth.c
@@ -78,12 +78,13 @@
 	g_array_unref(warmth->far_news);
 }
 
-static void add_update(GArray *news, struct warm_pair pair, uint64_t ready_us)
+static void add_update(GArray *updates, struct warm_pair pair,
+		       uint64_t ready_us)
 {
-	const struct warm_update one = { pair, ready_us };
+	const struct warm_update update = { pair, ready_us };
 
-	if (news->len < MAX_UPDATES)
-		g_array_append_val(news, one);
+	if (updates->len < MAX_UPDATES)
+		g_array_append_val(updates, update);
 }
 
 static void queue_update(struct warmth *warmth, struct warm_pair pair,
--- a/tests/core/choose_test.cc
+++ b/tests/core/choose_test.cc
@@ -52,15 +52,15 @@
 	struct backend *add(const std::string &id, const char *domain = "d1",
 			    const char *region = "r1", uint64_t cold_us = 0)
 	{
-		struct backend_info facts = {};
-
-		facts.id = id.c_str();
-		facts.service = "s";
-		facts.domain = domain;
-		facts.region = region;
-		facts.slots = 4;
-		facts.cold_left_us = cold_us;
-		return backend_table_put(backends, &facts, now_us);
+		struct backend_info info = {};
+
+		info.id = id.c_str();
+		info.service = "s";
+		info.domain = domain;
+		info.region = region;
+		info.slots = 4;
+		info.cold_left_us = cold_us;
+		return backend_table_put(backends, &info, now_us);
 	}
 	/* The service's flow of requests that leave the region. */
 	struct region_flow *chooser_flow(const char *of)
--- a/tests/core/edge_core_test.cc
+++ b/tests/core/edge_core_test.cc
@@ -544,25 +544,25 @@
 {
 	struct backend_table *a = backend_table_new();
 	struct backend_table *b = backend_table_new();
-	struct backend_info facts = {};
+	struct backend_info info = {};
 
-	facts.service = "s";
-	facts.domain = "d";
-	facts.region = "r";
-	facts.slots = 3;
+	info.service = "s";
+	info.domain = "d";
+	info.region = "r";
+	info.slots = 3;
 	for (const char *id : { "i-1", "i-2", "i-3" }) {
-		facts.id = id;
-		backend_table_put(a, &facts, 1);
+		info.id = id;
+		backend_table_put(a, &info, 1);
 	}
 	for (const char *id : { "i-3", "i-1", "i-2" }) {
-		facts.id = id;
-		backend_table_put(b, &facts, 2);
+		info.id = id;
+		backend_table_put(b, &info, 2);
 	}
 	EXPECT_EQ(backend_table_digest(a), backend_table_digest(b));
-	facts.draining = true;
-	backend_table_put(b, &facts, 3);
+	info.draining = true;
+	backend_table_put(b, &info, 3);
 	EXPECT_NE(backend_table_digest(a), backend_table_digest(b));
-	backend_table_put(a, &facts, 3);
+	backend_table_put(a, &info, 3);
 	EXPECT_EQ(backend_table_digest(a), backend_table_digest(b));
 	backend_table_remove(a, "i-1", 0, 0, 4);
 	EXPECT_NE(backend_table_digest(a), backend_table_digest(b));
@@ -579,26 +579,26 @@
 TEST(BackendTableTest, ARestartUnderTheSameIdIsANewIncarnation)
 {
 	struct backend_table *table = backend_table_new();
-	struct backend_info facts = {};
+	struct backend_info info = {};
 	uint64_t now_us = 10 * US_PER_S;
 
-	facts.id = "i-1";
-	facts.service = "s";
-	facts.domain = "d1";
-	facts.region = "r1";
-	facts.slots = 4;
-	facts.started_ms = 1000;
-	facts.cold_left_us = US_PER_S;
+	info.id = "i-1";
+	info.service = "s";
+	info.domain = "d1";
+	info.region = "r1";
+	info.slots = 4;
+	info.started_ms = 1000;
+	info.cold_left_us = US_PER_S;
 	struct backend *before =
-		backend_ref(backend_table_put(table, &facts, now_us));
+		backend_ref(backend_table_put(table, &info, now_us));
 	uint64_t digest = backend_table_digest(table);
 	backend_begin(before, 1000, now_us);
 	backend_note_load(before, 4, 9, now_us);
 	for (int i = 0; i < 10; i++)
 		backend_failed(before, now_us);
 
-	facts.started_ms = 2000;
-	struct backend *again = backend_table_put(table, &facts, now_us);
+	info.started_ms = 2000;
+	struct backend *again = backend_table_put(table, &info, now_us);
 	EXPECT_NE(before, again);
 	EXPECT_TRUE(before->gone);
 	EXPECT_NE(before->life, again->life);
@@ -611,9 +611,9 @@
 	EXPECT_EQ(nullptr, backend_table_find_incarnation(table, before->life));
 	EXPECT_EQ(again, backend_table_find_incarnation(table, again->life));
 
-	facts.started_ms = 1000;
-	facts.draining = true;
-	EXPECT_EQ(again, backend_table_put(table, &facts, now_us));
+	info.started_ms = 1000;
+	info.draining = true;
+	EXPECT_EQ(again, backend_table_put(table, &info, now_us));
 	EXPECT_FALSE(again->draining);
 	backend_end(before, 1000);
 	backend_unref(before);
@@ -624,15 +624,15 @@
 TEST(BackendTableTest, LoadIncludesOtherNodesRequests)
 {
 	struct backend_table *table = backend_table_new();
-	struct backend_info facts = {};
+	struct backend_info info = {};
 	uint64_t now_us = US_PER_S;
 
-	facts.id = "i-1";
-	facts.service = "s";
-	facts.domain = "d";
-	facts.region = "r";
-	facts.slots = 3;
-	struct backend *backend = backend_table_put(table, &facts, now_us);
+	info.id = "i-1";
+	info.service = "s";
+	info.domain = "d";
+	info.region = "r";
+	info.slots = 3;
+	struct backend *backend = backend_table_put(table, &info, now_us);
 	backend_begin(backend, 100, now_us);
 	EXPECT_DOUBLE_EQ(1.0, backend_load(backend, now_us));
 	backend_note_load(backend, 3, 1, now_us);
@@ -682,21 +682,21 @@
 TEST_P(RowTest, TheNewestRowWins)
 {
 	struct backend_table *table = backend_table_new();
-	struct backend_info facts = {};
+	struct backend_info info = {};
 	uint64_t now_us = 1;
 
-	facts.id = "i-1";
-	facts.service = "s";
-	facts.domain = "d1";
-	facts.region = "r1";
+	info.id = "i-1";
+	info.service = "s";
+	info.domain = "d1";
+	info.region = "r1";
 	for (const row_step &step : GetParam().steps) {
-		facts.version = step.version;
-		facts.draining = step.state == 'd';
+		info.version = step.version;
+		info.draining = step.state == 'd';
 		if (step.state == 'g')
 			backend_table_remove(table, "i-1", step.version, 0,
 					     now_us);
 		else
-			backend_table_put(table, &facts, now_us);
+			backend_table_put(table, &info, now_us);
 		const struct backend *known = backend_table_find(table, "i-1");
 		char state = !known ? 'g' : known->draining ? 'd' : 'r';
 		EXPECT_EQ(step.expected, state) << step.version;
