--- a/packages/core/backend_table.h
+++ b/packages/core/backend_table.h
@@ -69,9 +69,9 @@
 	uint64_t joined_us; /* 0: in the first complete list */
 	uint64_t lapsed_us; /* row missing: when to remove it; 0: listed */
 	uint64_t cold_until_us;
-	bool listed_cold; /* by its latest row */
+	bool listed_cold; /* cold by its latest row */
 
-	struct rate_limit limit; /* requested in its answers */
+	struct rate_limit limit; /* as named in its answers */
 	uint32_t kept; /* of this node */
 	uint32_t connections; /* of this node, idle or in use */
 	uint64_t ended_us; /* when the server last closed a connection */
@@ -110,8 +110,7 @@
 	GHashTable *removed; /* id -> struct removed_row */
 	bool whole; /* the list was read completely at least once */
 	GPtrArray *changes; /* see backend_table_take_changes() */
-	/* Last removal, drain, failed connection, or change of an evacuation.
-	 */
+	/* Last removal, drain, failed connection or evacuation change. */
 	uint64_t disturbed_us;
 };
 
@@ -126,10 +125,10 @@
 
 /*
  * Adds or updates a backend server and returns it; the table owns it. A server
- * that restarted under its id is replaced by a new one, as its cache, load and
- * failures start afresh. Rows of an earlier incarnation, or older than the
- * newest one seen, are ignored: peers report changes before the list does.
- * Returns NULL where a newer version removed the server.
+ * that restarted under its id is replaced by a new one, since its cache is
+ * empty and its load and failures are unknown. Rows of an earlier incarnation,
+ * or older than the newest one seen, are ignored: peers report changes before
+ * the list does. Returns NULL where a newer version removed the server.
  */
 struct backend *backend_table_put(struct backend_table *table,
 				  const struct backend_info *info,
--- a/packages/core/choose.c
+++ b/packages/core/choose.c
@@ -31,7 +31,7 @@
 /* How long after a loss requests may leave the region without limit. */
 #define FREE_AFTER_LOSS_US (5 * US_PER_S)
 
-/* Retry time for a service without any usable server. */
+/* Retry time for a service without any usable server (CHOOSE_NONE_KNOWN). */
 #define RETRY_UNKNOWN_US (1 * US_PER_S)
 
 static bool avoids_cold_runs(const struct chooser *chooser,
@@ -114,6 +114,10 @@
 	return NULL;
 }
 
+/*
+ * Replaces the best server by one to be warmed, if there is one: a new server
+ * always, another one for a fraction of requests.
+ */
 static const struct candidate *trial(struct chooser *chooser,
 				     const GArray *candidates,
 				     const struct candidate *best,
--- a/packages/core/choose.h
+++ b/packages/core/choose.h
@@ -43,6 +43,7 @@
 	CHOOSE_ADMIT = 1 << 3,
 };
 
+/* State of all choices of a node. */
 struct chooser {
 	struct backend_table *backends;
 	struct member_table *members;
@@ -61,9 +62,10 @@
 enum choose_isolation {
 	CHOOSE_ISOLATE_NONE, /* such a server only costs more */
 	CHOOSE_ISOLATE_PREFERRED, /* unless there is no other server */
-	CHOOSE_ISOLATE_REQUIRED, /* always; and each request there costs */
+	CHOOSE_ISOLATE_REQUIRED, /* always; and every request there adds cost */
 };
 
+/* A request for which a server is to be chosen. */
 struct choose_query {
 	const struct route *route;
 	const struct service *service;
@@ -77,6 +79,7 @@
 	enum choose_isolation apart; /* if it may crash its server */
 };
 
+/* Why a server was chosen, or why none was. */
 enum choose_reason {
 	CHOOSE_WARM, /* has the object in its cache */
 	CHOOSE_RANK, /* not warm; cheapest by rendezvous order and load */
@@ -113,6 +116,7 @@
 	bool best;
 };
 
+/* Result of a choice. */
 struct choice {
 	struct backend *backend; /* NULL if none */
 	enum choose_reason reason;
--- a/packages/core/warmth.h
+++ b/packages/core/warmth.h
@@ -25,11 +25,11 @@
 	uint32_t object;
 };
 
-/* Where a pair was learned from, and so which peers it is sent to. */
+/* Where a pair was learned from, which decides where it is sent. */
 enum warm_source {
-	WARM_OWN, /* a request of this node: to all peers */
-	WARM_RELAYED, /* from another region, for this one: to its peers */
-	WARM_RECEIVED, /* from a peer: to nobody */
+	WARM_OWN, /* a request of this node: sent to all regions */
+	WARM_RELAYED, /* a peer of another region: sent in this region */
+	WARM_RECEIVED, /* a peer of this region: not sent */
 };
 
 /* A change of a pair to send to peers. */
