--- a/packages/core/candidate.h
+++ b/packages/core/candidate.h
@@ -54,8 +54,8 @@
 
 /*
  * The cheapest server that only its rate limit excludes and that costs less
- * than cost_us; of another region only if may_leave. Servers whose senders have
- * just had no token to lend are skipped. NULL if there is none.
+ * than cost_us; of another region only if may_leave. Servers whose quota
+ * holders have just had no token to lend are skipped. NULL if there is none.
  */
 struct backend *candidates_best_limited(const struct chooser *chooser,
 					const struct choose_query *query,
