--- a/experiment/beats.c
+++ b/experiment/beats.c
@@ -107,7 +107,7 @@
 	g_hash_table_iter_init(&iter, node->backends->by_id);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct backend *backend = value;
-		const struct node_load load = { backend->life,
+		const struct node_load load = { backend->incarnation,
 						backend->in_flight };
 
 		if (backend->in_flight)
@@ -127,8 +127,8 @@
 static void beat(struct node *node)
 {
 	struct fleet *fleet = node->fleet;
-	GArray *news = taken_news(&node->warmth.news);
-	GArray *far_news = taken_news(&node->warmth.far_news);
+	GArray *news = taken_news(&node->warmth.updates);
+	GArray *far_news = taken_news(&node->warmth.far_updates);
 	GArray *loads = own_loads(node);
 	uint32_t i;
 
@@ -151,8 +151,9 @@
 {
 	struct node *node = subject;
 
-	if (node->up && (node->ticks % TICKS_A_BEAT == 0 ||
-			 node->warmth.news->len || node->warmth.far_news->len))
+	if (node->up &&
+	    (node->ticks % TICKS_A_BEAT == 0 || node->warmth.updates->len ||
+	     node->warmth.far_updates->len))
 		beat(node);
 	node->ticks++;
 	fleet_at(fleet, fleet->now_us + TICK_US, on_tick, node);
--- a/experiment/nodes.c
+++ b/experiment/nodes.c
@@ -240,11 +240,11 @@
 		};
 
 		/* Requests are on their way for half a round trip, no more. */
-		backend_table_put(node->backends, &facts, fleet->now_us)->kept =
-			1;
+		backend_table_put(node->backends, &facts, fleet->now_us)
+			->idle_connections = 1;
 		g_free(region);
 	}
-	node->backends->whole = true;
+	node->backends->loaded = true;
 }
 
 static void learn_members(struct node *node)
@@ -275,7 +275,7 @@
 	chooser_init(&node->chooser, node->backends, node->members,
 		     &node->warmth, node->members->self->region,
 		     node->members->self->region);
-	node->chooser.off = node->fleet->options->off;
+	node->chooser.disabled = node->fleet->options->off;
 	learn_servers(node);
 	memset(&node->budget, 0, sizeof(node->budget));
 	g_free(name);
--- a/packages/core/backend_table.c
+++ b/packages/core/backend_table.c
@@ -44,7 +44,7 @@
 
 	table->by_id = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 					     (GDestroyNotify)backend_unref);
-	table->by_life = g_hash_table_new(g_direct_hash, g_direct_equal);
+	table->by_incarnation = g_hash_table_new(g_direct_hash, g_direct_equal);
 	table->by_service =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
 				      (GDestroyNotify)g_ptr_array_unref);
@@ -61,7 +61,7 @@
 void backend_table_free(struct backend_table *table)
 {
 	g_hash_table_destroy(table->by_service);
-	g_hash_table_destroy(table->by_life);
+	g_hash_table_destroy(table->by_incarnation);
 	g_hash_table_destroy(table->by_id);
 	g_hash_table_destroy(table->times);
 	g_hash_table_destroy(table->evacuated);
@@ -90,16 +90,16 @@
 	backend->references = 1;
 	backend->id = g_strdup(info->id);
 	backend->hash = hash_text(info->id);
-	backend->life = incarnation_of(backend->hash, info->started_ms);
+	backend->incarnation = incarnation_of(backend->hash, info->started_ms);
 	backend->started_ms = info->started_ms;
 	backend->service = g_strdup(info->service);
 	backend->domain = g_strdup(info->domain);
 	backend->region = g_strdup(info->region);
 	backend->slowness = 1.0;
-	backend->joined_us = table->whole ? now_us : 0;
+	backend->joined_us = table->loaded ? now_us : 0;
 	g_hash_table_insert(table->by_id, backend->id, backend);
-	g_hash_table_replace(table->by_life, GUINT_TO_POINTER(backend->life),
-			     backend);
+	g_hash_table_replace(table->by_incarnation,
+			     GUINT_TO_POINTER(backend->incarnation), backend);
 	if (!list) {
 		list = g_ptr_array_new();
 		g_hash_table_insert(table->by_service, g_strdup(info->service),
@@ -118,7 +118,7 @@
 /* Ignored until the first complete list, which is no change. */
 static void note_change(struct backend_table *table, const char *id)
 {
-	if (table->whole && table->changes->len < MAX_CHANGES)
+	if (table->loaded && table->changes->len < MAX_CHANGES)
 		g_ptr_array_add(table->changes, g_strdup(id));
 }
 
@@ -144,7 +144,7 @@
 		uint32_t state = backend->slots << 2 | backend->draining << 1 |
 				 backend->listed_cold;
 
-		digest += hash_pair(backend->life, state);
+		digest += hash_pair(backend->incarnation, state);
 	}
 	return digest;
 }
@@ -164,13 +164,14 @@
 		g_hash_table_lookup(table->by_service, backend->service);
 
 	backend->gone = true;
-	table->disturbed_us = now_us;
+	table->last_loss_us = now_us;
 	note_change(table, backend->id);
 	g_ptr_array_remove(list, backend);
 	/* On a hash collision the entry belongs to the later incarnation. */
-	if (backend_table_find_incarnation(table, backend->life) == backend)
-		g_hash_table_remove(table->by_life,
-				    GUINT_TO_POINTER(backend->life));
+	if (backend_table_find_incarnation(table, backend->incarnation) ==
+	    backend)
+		g_hash_table_remove(table->by_incarnation,
+				    GUINT_TO_POINTER(backend->incarnation));
 	g_hash_table_remove(table->by_id, backend->id);
 }
 
@@ -223,12 +224,12 @@
 	if (info_differs(backend, info))
 		note_change(table, info->id);
 	if (info->draining && !backend->draining)
-		table->disturbed_us = now_us;
+		table->last_loss_us = now_us;
 	backend->address = info->address;
 	backend->slots = info->slots ? info->slots : 1;
 	backend->version = MAX(backend->version, info->version);
 	backend->draining = info->draining;
-	backend->lapsed_us = 0;
+	backend->expire_us = 0;
 	backend->listed_cold = info->cold_left_us > 0;
 	backend->cold_until_us =
 		info->cold_left_us ? now_us + info->cold_left_us : 0;
@@ -270,8 +271,8 @@
 		return;
 	if (backend->draining || keep_until_us <= now_us)
 		remove_from_table(table, backend, now_us);
-	else if (!backend->lapsed_us)
-		backend->lapsed_us = keep_until_us;
+	else if (!backend->expire_us)
+		backend->expire_us = keep_until_us;
 }
 
 static gboolean is_long_removed(gpointer id, gpointer value, gpointer now)
@@ -293,7 +294,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct backend *backend = value;
 
-		if (backend->lapsed_us && backend->lapsed_us <= now_us)
+		if (backend->expire_us && backend->expire_us <= now_us)
 			g_ptr_array_add(expired, value);
 	}
 	for (i = 0; i < expired->len; i++)
@@ -312,7 +313,7 @@
 backend_table_find_incarnation(const struct backend_table *table,
 			       uint32_t incarnation)
 {
-	return g_hash_table_lookup(table->by_life,
+	return g_hash_table_lookup(table->by_incarnation,
 				   GUINT_TO_POINTER(incarnation));
 }
 
@@ -341,7 +342,7 @@
 void backend_table_evacuate(struct backend_table *table, const char *domain,
 			    bool begins, uint64_t warmup_us, uint64_t now_us)
 {
-	table->disturbed_us = now_us;
+	table->last_loss_us = now_us;
 	if (begins) {
 		g_hash_table_add(table->evacuated, g_strdup(domain));
 		return;
@@ -399,8 +400,8 @@
 void backend_begin(struct backend *backend, double work_us, uint64_t now_us)
 {
 	backend->in_flight++;
-	backend->pledged_us += work_us;
-	backend->served++;
+	backend->in_flight_work_us += work_us;
+	backend->sends++;
 	if (backend->cold_until_us <= now_us)
 		return;
 	backend->cold_log[backend->cold_next++ % COLD_LOG_SIZE] = now_us;
@@ -409,13 +410,14 @@
 void backend_end(struct backend *backend, double work_us)
 {
 	backend->in_flight--;
-	backend->pledged_us -= work_us;
+	backend->in_flight_work_us -= work_us;
 }
 
 double backend_mean_work_us(const struct backend *backend)
 {
-	return backend->in_flight ? backend->pledged_us / backend->in_flight :
-				    0;
+	return backend->in_flight ?
+		       backend->in_flight_work_us / backend->in_flight :
+		       0;
 }
 
 void backend_note_load(struct backend *backend, uint32_t running,
@@ -423,8 +425,8 @@
 {
 	double total = (double)running + waiting;
 
-	backend->others = fmax(0, total - backend->in_flight);
-	backend->others_us = now_us;
+	backend->other_load = fmax(0, total - backend->in_flight);
+	backend->other_load_at_us = now_us;
 }
 
 void backend_table_clear_peer_loads(struct backend_table *table,
@@ -439,20 +441,20 @@
 		struct backend *backend = value;
 
 		for (i = 0; i < BACKEND_MAX_PEER_LOADS; i++)
-			if (backend->told[i].sender == sender)
-				backend->told[i].at_us = 0;
+			if (backend->peer_loads[i].sender == sender)
+				backend->peer_loads[i].at_us = 0;
 	}
 }
 
 void backend_note_peer_load(struct backend *backend, uint32_t sender,
 			    uint32_t in_flight, uint64_t now_us)
 {
-	struct backend_peer_load *oldest = &backend->told[0];
+	struct backend_peer_load *oldest = &backend->peer_loads[0];
 	uint32_t i;
 
 	for (i = 1; i < BACKEND_MAX_PEER_LOADS; i++)
-		if (backend->told[i].at_us < oldest->at_us)
-			oldest = &backend->told[i];
+		if (backend->peer_loads[i].at_us < oldest->at_us)
+			oldest = &backend->peer_loads[i];
 	oldest->sender = sender;
 	oldest->in_flight = in_flight;
 	oldest->at_us = now_us;
@@ -464,7 +466,8 @@
 	uint32_t i;
 
 	for (i = 0; i < BACKEND_MAX_PEER_LOADS; i++) {
-		const struct backend_peer_load *report = &backend->told[i];
+		const struct backend_peer_load *report =
+			&backend->peer_loads[i];
 
 		if (report->at_us &&
 		    now_us - report->at_us < PEER_LOAD_VALID_US)
@@ -475,8 +478,9 @@
 
 double backend_load(const struct backend *backend, uint64_t now_us)
 {
-	double age_us = (double)(now_us - backend->others_us);
-	double others = backend->others * exp(-age_us / OTHER_LOAD_DECAY_US);
+	double age_us = (double)(now_us - backend->other_load_at_us);
+	double others =
+		backend->other_load * exp(-age_us / OTHER_LOAD_DECAY_US);
 
 	return backend->in_flight +
 	       fmax(others, sum_peer_loads(backend, now_us));
@@ -484,10 +488,10 @@
 
 void backend_closed_connection(struct backend *backend, uint64_t now_us)
 {
-	if (now_us - backend->ended_us > DISCONNECT_BURST_US)
-		backend->ended_together = 0;
-	backend->ended_together++;
-	backend->ended_us = now_us;
+	if (now_us - backend->disconnect_us > DISCONNECT_BURST_US)
+		backend->disconnect_burst = 0;
+	backend->disconnect_burst++;
+	backend->disconnect_us = now_us;
 }
 
 void backend_answered(struct backend *backend, uint64_t sent_us)
@@ -522,7 +526,7 @@
 void backend_unreachable(struct backend_table *table, struct backend *backend,
 			 uint64_t now_us)
 {
-	table->disturbed_us = now_us;
+	table->last_loss_us = now_us;
 	backend->unreachable_us = now_us;
 	backend_failed(backend, now_us);
 	shun(backend, now_us);
--- a/packages/core/backend_table.h
+++ b/packages/core/backend_table.h
@@ -56,7 +56,8 @@
 	uint32_t references;
 	char *id;
 	uint32_t hash; /* of id, for rendezvous orders */
-	uint32_t life; /* hash of id and started_ms: changes when it restarts */
+	uint32_t incarnation; /* hash of id and started_ms: changes when it
+				 restarts */
 	uint64_t started_ms;
 	char *service;
 	struct endpoint address;
@@ -67,20 +68,20 @@
 	bool draining;
 	bool gone; /* removed from the table */
 	uint64_t joined_us; /* 0: in the first complete list */
-	uint64_t lapsed_us; /* row missing: when to remove it; 0: listed */
+	uint64_t expire_us; /* row missing: when to remove it; 0: listed */
 	uint64_t cold_until_us;
 	bool listed_cold; /* cold by its latest row */
 
 	struct rate_limit limit; /* as named in its answers */
-	uint32_t kept; /* of this node */
+	uint32_t idle_connections; /* of this node */
 	uint32_t connections; /* of this node, idle or in use */
-	uint64_t ended_us; /* when the server last closed a connection */
-	uint32_t ended_together; /* connections that it closed at that time */
+	uint64_t disconnect_us; /* when the server last closed a connection */
+	uint32_t disconnect_burst; /* connections that it closed at that time */
 	uint32_t in_flight; /* requests of this node */
-	double pledged_us; /* sum of their expected service times */
-	double others; /* other nodes' requests, by its latest answer */
-	uint64_t others_us; /* time of that answer */
-	struct backend_peer_load told[BACKEND_MAX_PEER_LOADS];
+	double in_flight_work_us; /* sum of their expected service times */
+	double other_load; /* other nodes' requests, by its latest answer */
+	uint64_t other_load_at_us; /* time of that answer */
+	struct backend_peer_load peer_loads[BACKEND_MAX_PEER_LOADS];
 
 	double slowness; /* its service time / the service's average one */
 	double failures; /* moving average: share of failed requests */
@@ -88,7 +89,7 @@
 	uint64_t unreachable_us; /* when a connection to it last failed */
 	uint64_t shun_until_us; /* backoff after failures: no requests before */
 	uint64_t shun_step_us; /* length of the latest backoff */
-	uint64_t served; /* requests sent from here */
+	uint64_t sends; /* requests sent from here */
 	uint64_t cold_log[COLD_LOG_SIZE]; /* times of the latest sends while
 					     cold */
 	uint32_t cold_next;
@@ -103,15 +104,16 @@
 
 struct backend_table {
 	GHashTable *by_id; /* holds a reference to each */
-	GHashTable *by_life; /* incarnation -> struct backend, borrowed */
+	GHashTable *by_incarnation; /* incarnation -> struct backend, borrowed
+				     */
 	GHashTable *by_service; /* name -> GPtrArray of struct backend */
 	GHashTable *times; /* service name -> struct service_times */
 	GHashTable *evacuated; /* failure domains that get no requests */
 	GHashTable *removed; /* id -> struct removed_row */
-	bool whole; /* the list was read completely at least once */
+	bool loaded; /* the list was read completely at least once */
 	GPtrArray *changes; /* see backend_table_take_changes() */
 	/* Last removal, drain, failed connection or evacuation change. */
-	uint64_t disturbed_us;
+	uint64_t last_loss_us;
 };
 
 /* Kept of a backend server after its removal. */
--- a/packages/core/candidate.c
+++ b/packages/core/candidate.c
@@ -104,8 +104,8 @@
 			uint64_t now_us)
 {
 	return chooser->suspects &&
-	       suspect_runs_on(chooser->suspects, backend->life, isolated_only,
-			       now_us);
+	       suspect_runs_on(chooser->suspects, backend->incarnation,
+			       isolated_only, now_us);
 }
 
 enum choose_block candidate_blocked(const struct chooser *chooser,
@@ -125,7 +125,7 @@
 		return CHOOSE_FORBIDDEN;
 	if (!cold_allows(chooser, query->service, backend, now_us))
 		return CHOOSE_COLD;
-	if (query->apart != CHOOSE_ISOLATE_NONE &&
+	if (query->isolation != CHOOSE_ISOLATE_NONE &&
 	    has_suspect(chooser, backend, false, now_us))
 		return CHOOSE_SUSPECT;
 	if (!rate_limit_allows(&backend->limit, now_us))
@@ -170,7 +170,7 @@
 {
 	double link_us = (double)chooser_link_us(chooser, backend->region);
 
-	return backend->kept ? link_us : 2 * link_us;
+	return backend->idle_connections ? link_us : 2 * link_us;
 }
 
 static void estimate(const struct chooser *chooser,
@@ -179,7 +179,7 @@
 		     struct candidate *candidate)
 {
 	struct backend *backend = candidate->backend;
-	struct warm_pair pair = { backend->life, query->object };
+	struct warm_pair pair = { backend->incarnation, query->object };
 	double load = backend_load(backend, now_us);
 	double slots = backend->slots;
 	double queued_us = backend_mean_work_us(backend);
@@ -191,7 +191,7 @@
 			  warmth_has(chooser->warmth, pair);
 	candidate->full = load >= slots + fmax(1.0, QUEUE_FRACTION * slots);
 	candidate->spare = load < SPARE_FRACTION * slots;
-	if (!(chooser->off & CHOOSE_HOLD_REQUESTS) && !candidate->warm &&
+	if (!(chooser->disabled & CHOOSE_HOLD_REQUESTS) && !candidate->warm &&
 	    load >= slots)
 		candidate->hold_us = hold_us(chooser, times, pair, now_us);
 	work_us = (candidate->warm || candidate->hold_us > 0 ? times->warm_us :
@@ -213,7 +213,7 @@
 		candidate->cost_us += FAR_COST * times->warm_us;
 	if (has_suspect(chooser, backend, true, now_us))
 		candidate->cost_us += SUSPECT_COST * times->warm_us;
-	if (query->apart == CHOOSE_ISOLATE_REQUIRED)
+	if (query->isolation == CHOOSE_ISOLATE_REQUIRED)
 		candidate->cost_us += COLOCATION_COST * times->warm_us * load;
 }
 
--- a/packages/core/choose.c
+++ b/packages/core/choose.c
@@ -38,7 +38,7 @@
 			     const GArray *candidates,
 			     const struct service_times *times)
 {
-	return !(chooser->off & CHOOSE_KEEP_WARM) &&
+	return !(chooser->disabled & CHOOSE_KEEP_WARM) &&
 	       candidates_have_warm(candidates, times);
 }
 
@@ -70,7 +70,7 @@
 static bool is_newcomer(const struct chooser *chooser,
 			const struct backend *backend, uint64_t now_us)
 {
-	return backend->joined_us && !backend->served &&
+	return backend->joined_us && !backend->sends &&
 	       now_us - backend->joined_us < NEWCOMER_US &&
 	       member_table_near_rank(chooser->members, backend->hash, now_us) <
 		       NEWCOMER_SENDERS;
@@ -180,7 +180,7 @@
 
 static bool lost_server_lately(const struct chooser *chooser, uint64_t now_us)
 {
-	uint64_t lost_us = chooser->backends->disturbed_us;
+	uint64_t lost_us = chooser->backends->last_loss_us;
 
 	return lost_us && now_us - lost_us < FREE_AFTER_LOSS_US;
 }
@@ -193,7 +193,7 @@
 	return (struct region_flow_request){
 		.prefers_to_leave = prefers_to_leave,
 		.has_object = query->has_object &&
-			      !(chooser->off & CHOOSE_LEAVE_BY_OBJECT),
+			      !(chooser->disabled & CHOOSE_LEAVE_BY_OBJECT),
 		.object = query->object,
 		.free = lost_server_lately(chooser, now_us),
 	};
@@ -260,7 +260,7 @@
 	};
 	enum admission_verdict verdict = admission_decide(&request);
 
-	if (chooser->off & CHOOSE_ADMIT)
+	if (chooser->disabled & CHOOSE_ADMIT)
 		return verdict != ADMISSION_TOO_LATE;
 	return verdict == ADMISSION_TAKE;
 }
@@ -343,7 +343,7 @@
 
 	memset(choice, 0, sizeof(*choice));
 	best = pick(chooser, query, times, candidates, now_us);
-	choice->wanted = candidates_best_limited(
+	choice->best_limited = candidates_best_limited(
 		chooser, query, times, best ? best->cost_us : INFINITY,
 		may_leave(chooser, query, best, now_us), now_us);
 	if (best && best->hold_us > 0 && !best->trial &&
@@ -371,9 +371,9 @@
 	struct choose_query together = *query;
 
 	choose_among_all(chooser, query, now_us, choice);
-	if (choice->backend || query->apart != CHOOSE_ISOLATE_PREFERRED)
+	if (choice->backend || query->isolation != CHOOSE_ISOLATE_PREFERRED)
 		return;
-	together.apart = CHOOSE_ISOLATE_NONE;
+	together.isolation = CHOOSE_ISOLATE_NONE;
 	choose_among_all(chooser, &together, now_us, choice);
 }
 
--- a/packages/core/choose.h
+++ b/packages/core/choose.h
@@ -55,7 +55,7 @@
 	GHashTable *flows; /* service -> struct region_flow */
 	GHashTable *returns; /* service -> struct admission_returns */
 	double trial_credit; /* trials allowed now; see CHOOSE_TRIAL */
-	uint32_t off; /* enum choose_mechanism; 0 except in experiments */
+	uint32_t disabled; /* enum choose_mechanism; 0 except in experiments */
 };
 
 /* Whether a request avoids servers that run requests suspected of crashes. */
@@ -76,7 +76,7 @@
 	uint64_t patience_us; /* longest wait of its caller; 0: unknown */
 	const struct backend *tried[CHOOSE_MAX_TRIED];
 	uint32_t tried_count;
-	enum choose_isolation apart; /* if it may crash its server */
+	enum choose_isolation isolation; /* if it may crash its server */
 };
 
 /* Why a server was chosen, or why none was. */
@@ -127,7 +127,7 @@
 	uint64_t hold_us; /* CHOOSE_HOLD: choose again after this time */
 	uint64_t retry_after_us; /* if refused: when the caller should retry */
 	/* Server to be preferred if only its rate limit allowed it; or NULL. */
-	struct backend *wanted;
+	struct backend *best_limited;
 };
 
 /* Borrows all arguments: they must outlive the chooser. */
--- a/packages/core/chooser.c
+++ b/packages/core/chooser.c
@@ -83,7 +83,7 @@
 void chooser_began(struct chooser *chooser, const struct choose_query *query,
 		   const struct choice *choice, uint64_t now_us)
 {
-	struct warm_pair pair = { choice->backend->life, query->object };
+	struct warm_pair pair = { choice->backend->incarnation, query->object };
 
 	if (query->has_object && !choice->warm)
 		warmth_begin(chooser->warmth, pair, WARM_OWN,
@@ -93,7 +93,7 @@
 void chooser_failed(struct chooser *chooser, const struct choose_query *query,
 		    const struct choice *choice)
 {
-	struct warm_pair pair = { choice->backend->life, query->object };
+	struct warm_pair pair = { choice->backend->incarnation, query->object };
 
 	if (query->has_object && !choice->warm)
 		warmth_abandon(chooser->warmth, pair);
@@ -107,7 +107,7 @@
 	struct service_times *times =
 		backend_table_times(chooser->backends, query->service->name,
 				    query->route->target_us);
-	struct warm_pair pair = { backend->life, query->object };
+	struct warm_pair pair = { backend->incarnation, query->object };
 	double *usual_us = choice->warm ? &times->warm_us : &times->cold_us;
 	double service_us = fmax(
 		(double)took_us - ((double)round_trip_us + choice->wait_us),
--- a/packages/core/member_table.c
+++ b/packages/core/member_table.c
@@ -71,11 +71,11 @@
 bool member_note_heartbeat(struct member *member, uint64_t heartbeat,
 			   bool leaving, uint64_t now_us)
 {
-	if (heartbeat <= member->beat)
+	if (heartbeat <= member->heartbeat)
 		return false;
-	member->beat = heartbeat;
+	member->heartbeat = heartbeat;
 	member->leaving = leaving;
-	member->heard_us = now_us;
+	member->heartbeat_us = now_us;
 	return true;
 }
 
@@ -86,8 +86,8 @@
 		return false;
 	if (member == table->self)
 		return true;
-	return member->heard_us &&
-	       now_us - member->heard_us < MEMBER_TIMEOUT_US;
+	return member->heartbeat_us &&
+	       now_us - member->heartbeat_us < MEMBER_TIMEOUT_US;
 }
 
 uint32_t member_table_count(const struct member_table *table)
@@ -181,8 +181,8 @@
 			const struct member *member, uint64_t now_us)
 {
 	/* A node that has just started sends "leaving" for a moment. */
-	bool is_fresh = member->known_us &&
-			now_us - member->known_us < MEMBER_TIMEOUT_US;
+	bool is_fresh = member->listed_us &&
+			now_us - member->listed_us < MEMBER_TIMEOUT_US;
 
 	return is_fresh || member_serves(table, member, now_us);
 }
@@ -284,7 +284,8 @@
 	g_hash_table_iter_init(&iter, table->by_name);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct member *member = value;
-		uint64_t since_us = MAX(member->heard_us, member->known_us);
+		uint64_t since_us =
+			MAX(member->heartbeat_us, member->listed_us);
 
 		if (member == table->self || now_us - since_us < forget_us)
 			continue;
--- a/packages/core/member_table.h
+++ b/packages/core/member_table.h
@@ -34,9 +34,9 @@
 	struct endpoint front; /* for callers; port 0: unknown */
 	struct endpoint peer; /* for heartbeats; port 0: unknown */
 	uint32_t link_mbps; /* of its VM; 0: unknown */
-	uint64_t beat; /* highest number received */
-	uint64_t heard_us; /* when that number was received; 0: never */
-	uint64_t known_us; /* when its row was first read; 0: unknown */
+	uint64_t heartbeat; /* highest number received */
+	uint64_t heartbeat_us; /* when that number was received; 0: never */
+	uint64_t listed_us; /* when its row was first read; 0: unknown */
 	bool leaving; /* it takes no requests: stops, or still starts */
 };
 
--- a/packages/core/warmth.c
+++ b/packages/core/warmth.c
@@ -65,8 +65,8 @@
 {
 	warmth->seen = g_hash_table_new(hash_key, g_direct_equal);
 	warmth->warming = g_hash_table_new(hash_key, g_direct_equal);
-	warmth->news = g_array_new(FALSE, FALSE, sizeof(struct warm_update));
-	warmth->far_news =
+	warmth->updates = g_array_new(FALSE, FALSE, sizeof(struct warm_update));
+	warmth->far_updates =
 		g_array_new(FALSE, FALSE, sizeof(struct warm_update));
 }
 
@@ -74,8 +74,8 @@
 {
 	g_hash_table_destroy(warmth->seen);
 	g_hash_table_destroy(warmth->warming);
-	g_array_unref(warmth->news);
-	g_array_unref(warmth->far_news);
+	g_array_unref(warmth->updates);
+	g_array_unref(warmth->far_updates);
 }
 
 static void add_update(GArray *updates, struct warm_pair pair,
@@ -92,9 +92,9 @@
 {
 	if (source == WARM_RECEIVED)
 		return;
-	add_update(warmth->news, pair, ready_us);
+	add_update(warmth->updates, pair, ready_us);
 	if (source == WARM_OWN)
-		add_update(warmth->far_news, pair, ready_us);
+		add_update(warmth->far_updates, pair, ready_us);
 }
 
 void warmth_note(struct warmth *warmth, struct warm_pair pair,
--- a/packages/core/warmth.h
+++ b/packages/core/warmth.h
@@ -41,8 +41,8 @@
 struct warmth {
 	GHashTable *seen; /* warm pair as 64 bits -> time in ms */
 	GHashTable *warming; /* pair as 64 bits -> expected end in ms */
-	GArray *news; /* struct warm_update, to be sent within the region */
-	GArray *far_news; /* the same, to other regions */
+	GArray *updates; /* struct warm_update, to be sent within the region */
+	GArray *far_updates; /* the same, to other regions */
 };
 
 void warmth_init(struct warmth *warmth);
--- a/packages/edge/admin_show.c
+++ b/packages/edge/admin_show.c
@@ -139,7 +139,7 @@
 				member_serves(edge->members, member, now_us)),
 			json_boolean(member == reader),
 			is_self ? admin_json_number(0) :
-				  age(member->heard_us, now_us),
+				  age(member->heartbeat_us, now_us),
 		};
 
 		ADMIN_TABLE_ADD(&table, columns, values);
@@ -164,7 +164,7 @@
 {
 	if (backend->draining)
 		return "draining";
-	if (backend->lapsed_us)
+	if (backend->expire_us)
 		return "missing";
 	if (backend_table_evacuated(edge->backends, backend->domain))
 		return "evacuated";
@@ -203,10 +203,10 @@
 		admin_json_number(backend->slots),
 		json_real(backend_load(backend, now_us)),
 		admin_json_number(backend->in_flight),
-		age(backend->others_us, now_us),
+		age(backend->other_load_at_us, now_us),
 		permille(backend->failures),
 		permille(backend->slowness),
-		admin_json_number(backend->served),
+		admin_json_number(backend->sends),
 	};
 
 	ADMIN_TABLE_ADD(table, backend_columns, values);
--- a/packages/edge/crash_watch.c
+++ b/packages/edge/crash_watch.c
@@ -135,7 +135,7 @@
 		return VERDICT_ENDED;
 	if (backend->alive_us > one->at_us)
 		return VERDICT_LIVES;
-	if (!backend->connections && backend->ended_together > 1)
+	if (!backend->connections && backend->disconnect_burst > 1)
 		return VERDICT_ENDED;
 	return now_us - one->at_us > GIVE_UP_US ? VERDICT_LIVES : VERDICT_OPEN;
 }
@@ -143,7 +143,7 @@
 static bool ended_with(const struct backend *backend,
 		       const struct request_break *one)
 {
-	uint64_t at_us = backend->ended_us;
+	uint64_t at_us = backend->disconnect_us;
 
 	return !backend->connections &&
 	       !strcmp(backend->domain, one->backend->domain) &&
@@ -176,7 +176,7 @@
 static void report(struct edge *edge, const struct request_break *one)
 {
 	const struct suspect_crash crash = {
-		.life = one->backend->life,
+		.life = one->backend->incarnation,
 		.at_us = one->at_us,
 		.ran_us = one->at_us - one->sent_us,
 	};
--- a/packages/edge/edge.c
+++ b/packages/edge/edge.c
@@ -71,7 +71,7 @@
 
 bool edge_is_ready(const struct edge *edge)
 {
-	return edge->routes && edge->backends->whole && !edge->stopping;
+	return edge->routes && edge->backends->loaded && !edge->stopping;
 }
 
 void edge_note_refusal(struct edge *edge, const char *cause, uint16_t status,
--- a/packages/edge/exchange.c
+++ b/packages/edge/exchange.c
@@ -231,7 +231,7 @@
 static bool hold_for_token(struct exchange *exchange)
 {
 	const struct choice *choice = &exchange->choice;
-	struct backend *wanted = choice->wanted;
+	struct backend *wanted = choice->best_limited;
 	uint64_t now_us = exchange_now_us(exchange);
 	bool is_first = !exchange->token_holds;
 	uint64_t way_us;
@@ -723,7 +723,7 @@
 {
 	struct edge *edge = exchange->edge;
 
-	if (!edge->routes || !edge->backends->whole ||
+	if (!edge->routes || !edge->backends->loaded ||
 	    (edge->quarantines &&
 	     quarantine_store_is_reading(edge->quarantines))) {
 		exchange_finish_refused(exchange, RETRY_SOON_US, "starting");
--- a/packages/edge/exchange_suspect.c
+++ b/packages/edge/exchange_suspect.c
@@ -135,7 +135,7 @@
 	};
 	struct suspect_ruling ruling;
 
-	exchange->query.apart = CHOOSE_ISOLATE_NONE;
+	exchange->query.isolation = CHOOSE_ISOLATE_NONE;
 	exchange->is_suspect = false;
 	if (just_broke_off(exchange))
 		return wait_for_watch(exchange);
@@ -154,8 +154,9 @@
 		if (ruling.claims)
 			return claim(exchange, cause);
 		exchange->is_suspect = true;
-		exchange->query.apart = ruling.apart ? CHOOSE_ISOLATE_REQUIRED :
-						       CHOOSE_ISOLATE_PREFERRED;
+		exchange->query.isolation = ruling.apart ?
+						    CHOOSE_ISOLATE_REQUIRED :
+						    CHOOSE_ISOLATE_PREFERRED;
 		break;
 	case SUSPECT_NONE:
 		break;
@@ -169,9 +170,9 @@
 	const struct suspect_run run = {
 		.fingerprint = exchange->fingerprint,
 		.node = edge->members->self->hash,
-		.life = exchange->choice.backend->life,
+		.life = exchange->choice.backend->incarnation,
 		.until_us = exchange->due_us + RUN_END_US,
-		.apart = exchange->query.apart == CHOOSE_ISOLATE_REQUIRED,
+		.apart = exchange->query.isolation == CHOOSE_ISOLATE_REQUIRED,
 	};
 
 	if (!exchange->is_suspect)
--- a/packages/edge/gossip.c
+++ b/packages/edge/gossip.c
@@ -205,12 +205,12 @@
 
 	/* Told after the digests, each change would make neighbours call. */
 	gossip_tell_changes(gossip);
-	self->beat = gossip->epoch_us + edge_now_us(edge);
+	self->heartbeat = gossip->epoch_us + edge_now_us(edge);
 	self->leaving = !edge_is_ready(edge);
 	gossip_beat_near(gossip);
 	gossip_beat_words(gossip);
 	if (gossip->rounds++ % GOSSIP_FAR_EVERY == 0 ||
-	    edge->warmth.far_news->len)
+	    edge->warmth.far_updates->len)
 		gossip_beat_far(gossip);
 }
 
@@ -218,8 +218,8 @@
 {
 	const struct warmth *warmth = &gossip->edge->warmth;
 
-	return gossip->ticks % GOSSIP_TICKS_A_BEAT == 0 || warmth->news->len ||
-	       warmth->far_news->len;
+	return gossip->ticks % GOSSIP_TICKS_A_BEAT == 0 ||
+	       warmth->updates->len || warmth->far_updates->len;
 }
 
 static void on_timer(uv_timer_t *timer)
--- a/packages/edge/gossip_send.c
+++ b/packages/edge/gossip_send.c
@@ -35,7 +35,7 @@
 	struct beat_life *life = &beat->lives[beat->life_count++];
 
 	life->member = member->hash;
-	life->number = member->beat;
+	life->number = member->heartbeat;
 	life->leaving = member->leaving;
 }
 
@@ -72,7 +72,7 @@
 
 		if (!backend->in_flight)
 			continue;
-		load->backend = backend->life;
+		load->backend = backend->incarnation;
 		load->in_flight = backend->in_flight;
 		beat->load_count++;
 	}
@@ -329,7 +329,7 @@
 		  gossip->rounds % GOSSIP_FAR_EVERY ? FEW_LIVES :
 						      BEAT_MAX_LIVES - 1);
 	add_loads(edge, &beat);
-	move_news(edge->warmth.news, &beat, edge_now_us(edge));
+	move_news(edge->warmth.updates, &beat, edge_now_us(edge));
 	if (gossip->sync && gossip_reads_for_others(gossip))
 		beat.vouch_count = sync_vouches(gossip->sync, beat.vouches);
 	send_near(gossip, &beat);
@@ -340,7 +340,7 @@
 	struct beat beat = { .life_count = 0 };
 
 	add_lives(gossip, &beat, FEW_LIVES);
-	move_news(gossip->edge->warmth.far_news, &beat,
+	move_news(gossip->edge->warmth.far_updates, &beat,
 		  edge_now_us(gossip->edge));
 	send_far(gossip, &beat);
 }
--- a/packages/edge/pool.c
+++ b/packages/edge/pool.c
@@ -125,13 +125,13 @@
 static void add_idle(struct pool *pool, struct conn *conn)
 {
 	g_ptr_array_add(pool->idle, conn);
-	conn->backend->kept++;
+	conn->backend->idle_connections++;
 }
 
 static void remove_idle(struct pool *pool, struct conn *conn)
 {
 	if (g_ptr_array_remove(pool->idle, conn))
-		conn->backend->kept--;
+		conn->backend->idle_connections--;
 }
 
 struct conn *pool_take(struct pool *pool, struct backend *backend,
@@ -195,7 +195,8 @@
 	conn->idle_since_us = clock_now_us(pool->clock);
 	if (!answer->keep_alive || conn->link.extra || conn->link.writing ||
 	    !conn->link.open || !conn->keep_us || conn->backend->gone ||
-	    conn->backend->draining || conn->backend->kept >= pool->idle_most)
+	    conn->backend->draining ||
+	    conn->backend->idle_connections >= pool->idle_most)
 		pool_drop(conn);
 	else
 		add_idle(pool, conn);
--- a/packages/edge/server_limits.c
+++ b/packages/edge/server_limits.c
@@ -113,7 +113,8 @@
 		g_random_double(), edge_now_us(edge));
 
 	if (sender && rate_limit_ask(&backend->limit, sender->hash))
-		gossip_ask_tokens(edge->gossip, sender, backend->life, tokens);
+		gossip_ask_tokens(edge->gossip, sender, backend->incarnation,
+				  tokens);
 }
 
 bool server_limits_ask(struct edge *edge, struct backend *backend,
@@ -161,7 +162,7 @@
 static void fill_word(const struct edge *edge, const struct backend *backend,
 		      struct rate_word *word)
 {
-	word->life = backend->life;
+	word->life = backend->incarnation;
 	word->per_s = backend->limit.per_s;
 	word->age_us = edge_now_us(edge) - backend->limit.named_us;
 }
--- a/packages/edge/sync_neighbours.c
+++ b/packages/edge/sync_neighbours.c
@@ -53,7 +53,7 @@
 		const struct backend *backend = value;
 		struct beat_row row;
 
-		if (backend->lapsed_us) {
+		if (backend->expire_us) {
 			snapshot_add_lapsed(writer, backend->id);
 			continue;
 		}
@@ -363,7 +363,7 @@
 {
 	struct edge *edge = sync->edge;
 
-	if ((edge->routes && edge->backends->whole) || !some_call_fails(sync))
+	if ((edge->routes && edge->backends->loaded) || !some_call_fails(sync))
 		return;
 	sync->asked_reader = false;
 	ask(sync, from);
--- a/packages/edge/sync_tables.c
+++ b/packages/edge/sync_tables.c
@@ -122,7 +122,7 @@
 	uint64_t now_us = edge_now_us(edge);
 	const struct backend *backend = backend_table_find(edge->backends, id);
 
-	if (backend && !backend->lapsed_us && backend->version <= version)
+	if (backend && !backend->expire_us && backend->version <= version)
 		log_event(LOG_INFO, "backend-missing",
 			  "backend=%s service=%s kept_us=%" PRIu64, id,
 			  backend->service, sync_lapse_left_us(sync));
@@ -135,7 +135,7 @@
 		    const struct backend_record *record)
 {
 	if (!known)
-		return edge->backends->whole;
+		return edge->backends->loaded;
 	return known->draining != record->draining ||
 	       known->started_ms != record->started_ms ||
 	       (record->cold_left_us &&
@@ -216,7 +216,7 @@
 	GList *ids = g_hash_table_get_keys(edge->backends->by_id);
 	GList *at;
 
-	edge->backends->whole = true;
+	edge->backends->loaded = true;
 	for (at = ids; at; at = at->next) {
 		char *id = g_strdup(at->data);
 
@@ -244,7 +244,7 @@
 	member->peer = record->peer;
 	member->link_mbps = record->link_mbps;
 	if (is_new)
-		member->known_us = edge_now_us(edge);
+		member->listed_us = edge_now_us(edge);
 	if (is_new)
 		log_event(LOG_INFO, "member", "member=%s domain=%s", name,
 			  record->domain);
--- a/tests/core/choose_test.cc
+++ b/tests/core/choose_test.cc
@@ -141,12 +141,12 @@
 		learn(server);
 	double opening_us = choose().expected_us;
 	for (struct backend *server : servers) {
-		server->kept = 1;
+		server->idle_connections = 1;
 		struct choice choice = choose();
 		EXPECT_EQ(server, choice.backend);
 		EXPECT_NEAR(opening_us - 150 * US_PER_MS, choice.expected_us,
 			    US_PER_MS);
-		server->kept = 0;
+		server->idle_connections = 0;
 	}
 }
 
@@ -290,7 +290,7 @@
 
 	learn(old);
 	EXPECT_EQ(old, choose().backend);
-	backends->whole = true;
+	backends->loaded = true;
 	struct backend *joined = add("i-2");
 	EXPECT_EQ(joined, choose().backend);
 	EXPECT_EQ(CHOOSE_TRIAL, choose().reason);
@@ -309,7 +309,7 @@
 	int began = 0;
 
 	learn(add("i-1"));
-	backends->whole = true;
+	backends->loaded = true;
 	struct backend *joined = add("i-2");
 	for (int node = 0; node < 30; node++) {
 		struct member_table *view = view_of(node, 30);
@@ -328,7 +328,7 @@
 	struct backend *old = add("i-1");
 
 	learn(old);
-	backends->whole = true;
+	backends->loaded = true;
 	add("i-2");
 	now_us += 11 * US_PER_S;
 	EXPECT_EQ(old, choose().backend);
@@ -346,7 +346,8 @@
 		backend_table_times(backends, "s", route->target_us);
 
 	query.patience_us = 6 * US_PER_S;
-	warmth_note(&warmth, { only->life, query.object }, WARM_OWN, now_us);
+	warmth_note(&warmth, { only->incarnation, query.object }, WARM_OWN,
+		    now_us);
 	times->warm_us = 500 * US_PER_MS;
 	for (int i = 0; i < 7; i++)
 		backend_begin(only, times->warm_us, now_us);
@@ -401,8 +402,8 @@
 	query.left_us = c.left_ms * US_PER_MS;
 	for (uint32_t i = 0; i < c.in_flight; i++)
 		backend_begin(only, times->warm_us, now_us);
-	warmth_begin(&warmth, { only->life, query.object }, WARM_RECEIVED,
-		     now_us + c.ready_ms * US_PER_MS, now_us);
+	warmth_begin(&warmth, { only->incarnation, query.object },
+		     WARM_RECEIVED, now_us + c.ready_ms * US_PER_MS, now_us);
 	struct choice choice = choose();
 	EXPECT_EQ(c.reason, choice.reason);
 	EXPECT_EQ(c.reason == CHOOSE_HOLD, choice.hold_us > 0);
@@ -450,7 +451,8 @@
 
 	times->warm_us = 200 * US_PER_MS;
 	times->cold_us = 300 * US_PER_MS;
-	warmth_note(&warmth, { owner->life, query.object }, WARM_OWN, now_us);
+	warmth_note(&warmth, { owner->incarnation, query.object }, WARM_OWN,
+		    now_us);
 	owner->slowness = c.owner_slowness;
 	for (uint32_t i = 0; i < c.at_owner; i++)
 		backend_begin(owner, times->warm_us, now_us);
@@ -480,7 +482,8 @@
 
 	backend_table_times(backends, "s", route->target_us)->cold_us =
 		300 * US_PER_MS;
-	warmth_note(&warmth, { owner->life, query.object }, WARM_OWN, now_us);
+	warmth_note(&warmth, { owner->incarnation, query.object }, WARM_OWN,
+		    now_us);
 	owner->slowness = c.owner_slowness;
 	for (uint32_t i = 0; i < c.at_owner; i++)
 		backend_begin(owner, 200 * US_PER_MS, now_us);
@@ -555,13 +558,13 @@
 
 		EXPECT_EQ(nullptr, choice.backend);
 		EXPECT_EQ(CHOOSE_NO_RATE, choice.reason);
-		wanted += choice.wanted == far;
+		wanted += choice.best_limited == far;
 	}
 	EXPECT_EQ(0, wanted);
 	region_flow_init(chooser_flow("s"), 1);
-	EXPECT_EQ(far, choose().wanted);
+	EXPECT_EQ(far, choose().best_limited);
 	query.left_us = 50 * US_PER_MS;
-	EXPECT_EQ(nullptr, choose().wanted);
+	EXPECT_EQ(nullptr, choose().best_limited);
 }
 
 } // namespace
--- a/tests/core/edge_core_test.cc
+++ b/tests/core/edge_core_test.cc
@@ -446,7 +446,7 @@
 
 	b->hash = 0;
 	EXPECT_TRUE(member_table_is_reader(table, now_us));
-	b->known_us = now_us;
+	b->listed_us = now_us;
 	EXPECT_FALSE(member_table_is_reader(table, now_us));
 	member_note_heartbeat(b, 1, true, now_us);
 	EXPECT_FALSE(member_table_is_reader(table, now_us))
@@ -472,8 +472,8 @@
 	struct member *b = member_table_find(table, "b");
 	struct member *c = member_table_find(table, "c");
 
-	b->known_us = now_us;
-	c->known_us = now_us;
+	b->listed_us = now_us;
+	c->listed_us = now_us;
 	now_us += forget_us - 1;
 	EXPECT_EQ(nullptr, member_table_find_expired(table, forget_us, now_us));
 	member_note_heartbeat(c, 1, false, now_us);
@@ -525,15 +525,15 @@
 			    (double)warmth_ready_us(&warmth, pair, now_us),
 			    2.0 * US_PER_MS);
 	}
-	EXPECT_EQ(3u, warmth.news->len);
+	EXPECT_EQ(3u, warmth.updates->len);
 	warmth_begin(&warmth, well, WARM_OWN, ready_us + 1000, now_us);
-	EXPECT_EQ(3u, warmth.news->len) << "already warming";
+	EXPECT_EQ(3u, warmth.updates->len) << "already warming";
 	warmth_note(&warmth, well, WARM_OWN, ready_us);
 	EXPECT_TRUE(warmth_has(&warmth, well));
 	EXPECT_EQ(0u, warmth_ready_us(&warmth, well, ready_us));
-	EXPECT_EQ(4u, warmth.news->len) << "an update: it is warm";
+	EXPECT_EQ(4u, warmth.updates->len) << "an update: it is warm";
 	warmth_begin(&warmth, well, WARM_OWN, ready_us, now_us);
-	EXPECT_EQ(4u, warmth.news->len) << "already warm";
+	EXPECT_EQ(4u, warmth.updates->len) << "already warm";
 	warmth_abandon(&warmth, badly);
 	EXPECT_EQ(0u, warmth_ready_us(&warmth, badly, now_us));
 	EXPECT_EQ(0u, warmth_ready_us(&warmth, lost, ready_us + US_PER_S));
@@ -601,15 +601,17 @@
 	struct backend *again = backend_table_put(table, &info, now_us);
 	EXPECT_NE(before, again);
 	EXPECT_TRUE(before->gone);
-	EXPECT_NE(before->life, again->life);
+	EXPECT_NE(before->incarnation, again->incarnation);
 	EXPECT_EQ(before->hash, again->hash) << "the rendezvous order stays";
 	EXPECT_EQ(0, backend_load(again, now_us));
 	EXPECT_EQ(0, again->failures);
 	EXPECT_EQ(0u, again->shun_until_us);
 	EXPECT_EQ(1u, backend_cold_sends(again, now_us));
 	EXPECT_NE(digest, backend_table_digest(table));
-	EXPECT_EQ(nullptr, backend_table_find_incarnation(table, before->life));
-	EXPECT_EQ(again, backend_table_find_incarnation(table, again->life));
+	EXPECT_EQ(nullptr,
+		  backend_table_find_incarnation(table, before->incarnation));
+	EXPECT_EQ(again,
+		  backend_table_find_incarnation(table, again->incarnation));
 
 	info.started_ms = 1000;
 	info.draining = true;
--- a/tests/core/rate_limit_test.cc
+++ b/tests/core/rate_limit_test.cc
@@ -501,7 +501,7 @@
 					atoi(node.members->self->name + 1)) %
 						       2 ==
 					       0)
-				member->heard_us = now_us;
+				member->heartbeat_us = now_us;
 		}
 	}
 	void share(Node &node)
--- a/tests/core/suspect_fleet.h
+++ b/tests/core/suspect_fleet.h
@@ -217,8 +217,8 @@
 		facts.domain = domain.c_str();
 		facts.region = "r";
 		facts.slots = 1;
-		server.life =
-			backend_table_put(backends_.get(), &facts, now_us)->life;
+		server.life = backend_table_put(backends_.get(), &facts, now_us)
+				      ->incarnation;
 	}
 	void restart()
 	{
--- a/tests/core/suspect_table_test.cc
+++ b/tests/core/suspect_table_test.cc
@@ -172,8 +172,8 @@
 	std::vector<uint32_t> lives;
 
 	for (int i = 0; i < c.servers; i++)
-		lives.push_back(
-			add_backend(("i-" + std::to_string(i)).c_str())->life);
+		lives.push_back(add_backend(("i-" + std::to_string(i)).c_str())
+					->incarnation);
 	for (int i = 0; i < c.ended; i++) {
 		now_us += 10 * US_PER_MS;
 		end(lives[(size_t)i], 100 + (uint64_t)i);
@@ -201,7 +201,8 @@
 	std::vector<std::string> ids = { "i-1", "i-2", "i-3" };
 
 	for (const std::string &id : ids)
-		crash(add_backend(id.c_str())->life, (uint64_t)id.back());
+		crash(add_backend(id.c_str())->incarnation,
+		      (uint64_t)id.back());
 	for (const std::string &id : ids)
 		backend_table_remove(backends, id.c_str(), 0, 0, now_us);
 	now_us += US_PER_S;
@@ -251,7 +252,7 @@
 		struct backend *backend = add_backend(id);
 
 		now_us += US_PER_S;
-		crash(backend->life);
+		crash(backend->incarnation);
 	}
 	EXPECT_EQ(SUSPECT_QUARANTINED, rule().verdict);
 	now_us += US_PER_S;
@@ -265,7 +266,7 @@
 {
 	struct backend *backend = add_backend("i-1");
 
-	crash(backend->life);
+	crash(backend->incarnation);
 	now_us += US_PER_S;
 	backend_unreachable(backends, backend, now_us);
 	backend_answered(backend, now_us + US_PER_S);
@@ -814,7 +815,7 @@
 			add_backend(("i-" + std::to_string(i)).c_str());
 
 		backend_answered(backend, now_us - US_PER_S);
-		word.crashes[i].life = backend->life;
+		word.crashes[i].life = backend->incarnation;
 		word.crashes[i].age_us = (5 + i) * US_PER_S;
 	}
 	EXPECT_TRUE(take(word));
--- a/tests/edge/exchange_test.cc
+++ b/tests/edge/exchange_test.cc
@@ -357,7 +357,7 @@
 		callers.push_back(call(get("a" + std::to_string(i), "/r/")));
 	wait_for([&] { return app_stand_running(app.stand) == 4; });
 	const struct warm_pair pair = {
-		backend_table_find(edge->backends, "i-1")->life,
+		backend_table_find(edge->backends, "i-1")->incarnation,
 		hash_text("7"),
 	};
 	EXPECT_NE(0u, warmth_ready_us(&edge->warmth, pair, edge_now_us(edge)));
--- a/tests/edge/gossip_test.cc
+++ b/tests/edge/gossip_test.cc
@@ -494,7 +494,7 @@
 		neighbour->hash = hash_before(0);
 		put_dead_sender(hash_before(neighbour->hash + 1));
 		member_note_heartbeat(neighbour, 1, false, edge_now_us(edge));
-		const struct rate_word word = { backend->life, 1, 0 };
+		const struct rate_word word = { backend->incarnation, 1, 0 };
 		ASSERT_TRUE(server_limits_take(edge, &word));
 		ASSERT_DOUBLE_EQ(0, backend->limit.part_per_s);
 	}
@@ -504,7 +504,8 @@
 		hear();
 		for (const struct beat &beat : beats)
 			if (beat.token_count && beat.tokens[0].asked)
-				return beat.tokens[0].life == backend->life;
+				return beat.tokens[0].life ==
+				       backend->incarnation;
 		return false;
 	}
 	void answer(uint32_t lent)
@@ -515,8 +516,8 @@
 
 		beat.lives[beat.life_count++] = { neighbour->hash, ++number,
 						  false };
-		beat.tokens[beat.token_count++] = { backend->life, 0, lent,
-						    100 };
+		beat.tokens[beat.token_count++] = { backend->incarnation, 0,
+						    lent, 100 };
 		say(beat);
 	}
 	App *app;
--- a/tests/edge/server_limit_test.cc
+++ b/tests/edge/server_limit_test.cc
@@ -136,7 +136,7 @@
 	App &needy = add_app("i-1");
 
 	start_settled_node();
-	uint32_t life = backend_table_find(edge->backends, "i-1")->life;
+	uint32_t life = backend_table_find(edge->backends, "i-1")->incarnation;
 	for (const struct rate_word &absurd :
 	     { rate_word{ life, -1, 0 }, rate_word{ life, 1e300, 0 },
 	       rate_word{ life, 2, 3600ull * 1000000 } })
--- a/tests/edge/sync_test.cc
+++ b/tests/edge/sync_test.cc
@@ -112,7 +112,7 @@
 		struct backend *backend =
 			backend_table_find(edge->backends, "i-1");
 
-		return !backend || backend->lapsed_us;
+		return !backend || backend->expire_us;
 	});
 	ASSERT_TRUE(knows("i-1"));
 	EXPECT_EQ(200, status_of(answer_to(get("a1", "/r/"))));
@@ -406,7 +406,7 @@
 	start_node();
 	ASSERT_EQ(200, status_of(answer_to(get("a1", "/o/"))));
 	const struct warm_pair pair = {
-		backend_table_find(edge->backends, "i-1")->life,
+		backend_table_find(edge->backends, "i-1")->incarnation,
 		hash_text("7"),
 	};
 	EXPECT_TRUE(warmth_has(&edge->warmth, pair));
@@ -418,7 +418,7 @@
 		       2000;
 	});
 	EXPECT_NE(pair.backend,
-		  backend_table_find(edge->backends, "i-1")->life);
+		  backend_table_find(edge->backends, "i-1")->incarnation);
 	EXPECT_EQ(200, status_of(answer_to(get("a2", "/o/"))));
 	EXPECT_EQ(1u, app_stand_runs(again.stand, "a2"));
 	/* A late entry of the life before changes nothing. */
