--- a/packages/core/backend_table.h
+++ b/packages/core/backend_table.h
@@ -56,8 +56,7 @@
 	uint32_t references;
 	char *id;
 	uint32_t hash; /* of id, for rendezvous orders */
-	uint32_t incarnation; /* hash of id and started_ms: changes when it
-				 restarts */
+	uint32_t incarnation; /* hash of id and started_ms */
 	uint64_t started_ms;
 	char *service;
 	struct endpoint address;
@@ -76,7 +75,7 @@
 	uint32_t idle_connections; /* of this node */
 	uint32_t connections; /* of this node, idle or in use */
 	uint64_t disconnect_us; /* when the server last closed a connection */
-	uint32_t disconnect_burst; /* connections that it closed at that time */
+	uint32_t disconnect_burst; /* connections closed about then */
 	uint32_t in_flight; /* requests of this node */
 	double in_flight_work_us; /* sum of their expected service times */
 	double other_load; /* other nodes' requests, by its latest answer */
@@ -90,8 +89,8 @@
 	uint64_t shun_until_us; /* backoff after failures: no requests before */
 	uint64_t shun_step_us; /* length of the latest backoff */
 	uint64_t sends; /* requests sent from here */
-	uint64_t cold_log[COLD_LOG_SIZE]; /* times of the latest sends while
-					     cold */
+	/* Ring of the times of the latest sends while it was cold. */
+	uint64_t cold_log[COLD_LOG_SIZE];
 	uint32_t cold_next;
 };
 
@@ -104,8 +103,7 @@
 
 struct backend_table {
 	GHashTable *by_id; /* holds a reference to each */
-	GHashTable *by_incarnation; /* incarnation -> struct backend, borrowed
-				     */
+	GHashTable *by_incarnation; /* incarnation -> borrowed backend */
 	GHashTable *by_service; /* name -> GPtrArray of struct backend */
 	GHashTable *times; /* service name -> struct service_times */
 	GHashTable *evacuated; /* failure domains that get no requests */
--- a/packages/core/choose.h
+++ b/packages/core/choose.h
@@ -31,7 +31,7 @@
 /* Backend servers that a request was sent to before, at most. */
 #define CHOOSE_MAX_TRIED 8
 
-/* Mechanisms that experiments can disable: bits of chooser.off. */
+/* Mechanisms that experiments can disable: bits of chooser.disabled. */
 enum choose_mechanism {
 	/* Whole objects leave the region, not single requests. */
 	CHOOSE_LEAVE_BY_OBJECT = 1 << 0,
--- a/packages/core/warmth.h
+++ b/packages/core/warmth.h
@@ -21,7 +21,7 @@
 
 /* An object (by its hash) at one incarnation of a backend server. */
 struct warm_pair {
-	uint32_t backend; /* struct backend: incarnation */
+	uint32_t backend; /* its incarnation */
 	uint32_t object;
 };
 
