--- a/packages/core/retry.h
+++ b/packages/core/retry.h
@@ -16,8 +16,7 @@
 
 enum send_outcome {
 	SEND_UNREACHABLE, /* never left this node */
-	SEND_NOT_EXECUTED, /* the backend server reports that it didn't run it
-			    */
+	SEND_NOT_EXECUTED, /* the backend server reports: not run */
 	SEND_FAILED, /* the backend server ran it and it failed (5xx) */
 	SEND_BROKEN, /* no complete answer: it may have run */
 };
