--- a/packages/core/backend_table.c
+++ b/packages/core/backend_table.c
@@ -7,34 +7,34 @@
 #include "core/hash.h"
 
 /*
- * How fast a reported load is forgotten: requests take a second or so, after
- * which the ones it counted have ended.
+ * Time constant of the exponential decay of a server's reported load. Requests
+ * take about 1 s, after which those that were counted have ended.
  */
-#define OTHERS_FADE_US (1 * US_PER_S)
+#define OTHER_LOAD_DECAY_US (1 * US_PER_S)
 
-/* Neighbours' word is older than three of their beats: it counts no longer. */
-#define TOLD_VALID_US (1500 * US_PER_MS)
+/* Age limit of a peer's load report: three of its heartbeats. */
+#define PEER_LOAD_VALID_US (1500 * US_PER_MS)
 
-/* Weight of one outcome in the share of failures: about the last 10. */
+/* Weight of one outcome in the average: about the last 10 requests count. */
 #define FAILURE_WEIGHT 0.1
 
-/* First and longest spell without requests after a server was unreachable. */
+/* First and longest backoff after a server was unreachable. */
 #define SHUN_FIRST_US (500 * US_PER_MS)
-#define SHUN_MOST_US (4 * US_PER_S)
+#define SHUN_MAX_US (4 * US_PER_S)
 
-/* Share of failed requests from which a server is left alone for a spell. */
-#define FAILURES_SHUN 0.6
+/* Share of failed requests above which a server is backed off from. */
+#define SHUN_FAILURE_SHARE 0.6
 
 /*
- * Times before a service has answered: the objective is set so that a warm
- * server meets it with room and a cold one misses it.
+ * Initial service times, as fractions of the objective: that is set so that a
+ * warm server meets it with some margin and a cold one misses it.
  */
 #define WARM_PRIOR 0.5
 #define COLD_PRIOR 1.5
 
 /*
- * How long the version that removed a server is kept: the platform tells of
- * changes for as long as its history lasts, a minute at most.
+ * How long the version that removed a server is kept. The platform reports
+ * changes as far back as its history goes, at most 1 min.
  */
 #define REMOVED_KEEP_US (60 * US_PER_S)
 
@@ -44,7 +44,7 @@
 
 	table->by_id = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 					     (GDestroyNotify)backend_unref);
-	table->by_life = g_hash_table_new(g_direct_hash, g_direct_equal);
+	table->by_incarnation = g_hash_table_new(g_direct_hash, g_direct_equal);
 	table->by_service =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
 				      (GDestroyNotify)g_ptr_array_unref);
@@ -61,7 +61,7 @@
 void backend_table_free(struct backend_table *table)
 {
 	g_hash_table_destroy(table->by_service);
-	g_hash_table_destroy(table->by_life);
+	g_hash_table_destroy(table->by_incarnation);
 	g_hash_table_destroy(table->by_id);
 	g_hash_table_destroy(table->times);
 	g_hash_table_destroy(table->evacuated);
@@ -70,10 +70,10 @@
 	g_free(table);
 }
 
-/* Connections that end within this time ended for one reason. */
-#define ENDED_TOGETHER_US (20 * US_PER_MS)
+/* Connections closed within this time of each other have one cause. */
+#define DISCONNECT_BURST_US (20 * US_PER_MS)
 
-static uint32_t life_of(uint32_t hash, uint64_t started_ms)
+static uint32_t incarnation_of(uint32_t hash, uint64_t started_ms)
 {
 	if (!started_ms)
 		return hash;
@@ -82,28 +82,27 @@
 }
 
 static struct backend *add(struct backend_table *table,
-			   const struct backend_facts *facts, uint64_t now_us)
+			   const struct backend_info *info, uint64_t now_us)
 {
 	struct backend *backend = g_new0(struct backend, 1);
-	GPtrArray *list =
-		g_hash_table_lookup(table->by_service, facts->service);
+	GPtrArray *list = g_hash_table_lookup(table->by_service, info->service);
 
 	backend->references = 1;
-	backend->id = g_strdup(facts->id);
-	backend->hash = hash_text(facts->id);
-	backend->life = life_of(backend->hash, facts->started_ms);
-	backend->started_ms = facts->started_ms;
-	backend->service = g_strdup(facts->service);
-	backend->domain = g_strdup(facts->domain);
-	backend->region = g_strdup(facts->region);
+	backend->id = g_strdup(info->id);
+	backend->hash = hash_text(info->id);
+	backend->incarnation = incarnation_of(backend->hash, info->started_ms);
+	backend->started_ms = info->started_ms;
+	backend->service = g_strdup(info->service);
+	backend->domain = g_strdup(info->domain);
+	backend->region = g_strdup(info->region);
 	backend->slowness = 1.0;
-	backend->joined_us = table->whole ? now_us : 0;
+	backend->joined_us = table->loaded ? now_us : 0;
 	g_hash_table_insert(table->by_id, backend->id, backend);
-	g_hash_table_replace(table->by_life, GUINT_TO_POINTER(backend->life),
-			     backend);
+	g_hash_table_replace(table->by_incarnation,
+			     GUINT_TO_POINTER(backend->incarnation), backend);
 	if (!list) {
 		list = g_ptr_array_new();
-		g_hash_table_insert(table->by_service, g_strdup(facts->service),
+		g_hash_table_insert(table->by_service, g_strdup(info->service),
 				    list);
 	}
 	g_ptr_array_add(list, backend);
@@ -111,26 +110,26 @@
 }
 
 /*
- * Changes that nobody takes are forgotten beyond this: a failure domain's worth
- * of servers that come or go at once.
+ * Changes kept until they are taken; later ones are dropped. Enough for a
+ * failure domain whose servers all come or go at once.
  */
-#define CHANGES_MOST 512
+#define MAX_CHANGES 512
 
-/* Until the list was read whole there is nothing that could have changed. */
+/* Ignored until the first complete list, which is no change. */
 static void note_change(struct backend_table *table, const char *id)
 {
-	if (table->whole && table->changes->len < CHANGES_MOST)
+	if (table->loaded && table->changes->len < MAX_CHANGES)
 		g_ptr_array_add(table->changes, g_strdup(id));
 }
 
-static bool says_something_new(const struct backend *backend,
-			       const struct backend_facts *facts)
+static bool info_differs(const struct backend *backend,
+			 const struct backend_info *info)
 {
-	return !backend->slots || backend->slots != facts->slots ||
-	       backend->draining != facts->draining ||
-	       backend->listed_cold != (facts->cold_left_us > 0) ||
-	       backend->address.port != facts->address.port ||
-	       strcmp(backend->address.address, facts->address.address) != 0;
+	return !backend->slots || backend->slots != info->slots ||
+	       backend->draining != info->draining ||
+	       backend->listed_cold != (info->cold_left_us > 0) ||
+	       backend->address.port != info->address.port ||
+	       strcmp(backend->address.address, info->address.address) != 0;
 }
 
 uint64_t backend_table_digest(const struct backend_table *table)
@@ -142,10 +141,10 @@
 	g_hash_table_iter_init(&iter, table->by_id);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct backend *backend = value;
-		uint32_t facts = backend->slots << 2 | backend->draining << 1 |
+		uint32_t state = backend->slots << 2 | backend->draining << 1 |
 				 backend->listed_cold;
 
-		digest += hash_pair(backend->life, facts);
+		digest += hash_pair(backend->incarnation, state);
 	}
 	return digest;
 }
@@ -158,38 +157,39 @@
 	return changes;
 }
 
-static void take_out(struct backend_table *table, struct backend *backend,
-		     uint64_t now_us)
+static void remove_from_table(struct backend_table *table,
+			      struct backend *backend, uint64_t now_us)
 {
 	GPtrArray *list =
 		g_hash_table_lookup(table->by_service, backend->service);
 
 	backend->gone = true;
-	table->disturbed_us = now_us;
+	table->last_loss_us = now_us;
 	note_change(table, backend->id);
 	g_ptr_array_remove(list, backend);
-	/* Of two lives with one hash the later one has it. */
-	if (backend_table_find_life(table, backend->life) == backend)
-		g_hash_table_remove(table->by_life,
-				    GUINT_TO_POINTER(backend->life));
+	/* On a hash collision the entry belongs to the later incarnation. */
+	if (backend_table_find_incarnation(table, backend->incarnation) ==
+	    backend)
+		g_hash_table_remove(table->by_incarnation,
+				    GUINT_TO_POINTER(backend->incarnation));
 	g_hash_table_remove(table->by_id, backend->id);
 }
 
 /*
- * It crashed and came back under its id. The life before leaves as one that is
- * gone, so that what runs there ends in peace. Only the log of sends while cold
- * goes on: the bound on those is the address's, whichever life counts them.
+ * Replaces a server that restarted under its id. The previous incarnation is
+ * removed but stays valid for its running requests. Only the log of cold sends
+ * is carried over, since the cold allowance applies to the address across
+ * incarnations.
  */
 static struct backend *restart(struct backend_table *table,
 			       struct backend *before,
-			       const struct backend_facts *facts,
-			       uint64_t now_us)
+			       const struct backend_info *info, uint64_t now_us)
 {
 	struct backend *backend;
 
 	backend_ref(before);
-	take_out(table, before, now_us);
-	backend = add(table, facts, now_us);
+	remove_from_table(table, before, now_us);
+	backend = add(table, info, now_us);
 	memcpy(backend->cold_log, before->cold_log, sizeof(backend->cold_log));
 	backend->cold_next = before->cold_next;
 	backend_unref(before);
@@ -197,42 +197,42 @@
 }
 
 bool backend_table_knows_newer(const struct backend_table *table,
-			       const struct backend_facts *facts)
+			       const struct backend_info *info)
 {
-	const struct backend *known = backend_table_find(table, facts->id);
+	const struct backend *known = backend_table_find(table, info->id);
 
 	if (!known)
-		return facts->version &&
-		       facts->version <
-			       backend_table_removed_version(table, facts->id);
-	return facts->started_ms < known->started_ms ||
-	       (facts->version && facts->version < known->version);
+		return info->version &&
+		       info->version <
+			       backend_table_removed_version(table, info->id);
+	return info->started_ms < known->started_ms ||
+	       (info->version && info->version < known->version);
 }
 
 struct backend *backend_table_put(struct backend_table *table,
-				  const struct backend_facts *facts,
+				  const struct backend_info *info,
 				  uint64_t now_us)
 {
-	struct backend *backend = backend_table_find(table, facts->id);
+	struct backend *backend = backend_table_find(table, info->id);
 
-	if (backend_table_knows_newer(table, facts))
+	if (backend_table_knows_newer(table, info))
 		return backend;
 	if (!backend)
-		backend = add(table, facts, now_us);
-	else if (facts->started_ms > backend->started_ms)
-		backend = restart(table, backend, facts, now_us);
-	if (says_something_new(backend, facts))
-		note_change(table, facts->id);
-	if (facts->draining && !backend->draining)
-		table->disturbed_us = now_us;
-	backend->address = facts->address;
-	backend->slots = facts->slots ? facts->slots : 1;
-	backend->version = MAX(backend->version, facts->version);
-	backend->draining = facts->draining;
-	backend->lapsed_us = 0;
-	backend->listed_cold = facts->cold_left_us > 0;
+		backend = add(table, info, now_us);
+	else if (info->started_ms > backend->started_ms)
+		backend = restart(table, backend, info, now_us);
+	if (info_differs(backend, info))
+		note_change(table, info->id);
+	if (info->draining && !backend->draining)
+		table->last_loss_us = now_us;
+	backend->address = info->address;
+	backend->slots = info->slots ? info->slots : 1;
+	backend->version = MAX(backend->version, info->version);
+	backend->draining = info->draining;
+	backend->expire_us = 0;
+	backend->listed_cold = info->cold_left_us > 0;
 	backend->cold_until_us =
-		facts->cold_left_us ? now_us + facts->cold_left_us : 0;
+		info->cold_left_us ? now_us + info->cold_left_us : 0;
 	return backend;
 }
 
@@ -270,9 +270,9 @@
 	if (!backend)
 		return;
 	if (backend->draining || keep_until_us <= now_us)
-		take_out(table, backend, now_us);
-	else if (!backend->lapsed_us)
-		backend->lapsed_us = keep_until_us;
+		remove_from_table(table, backend, now_us);
+	else if (!backend->expire_us)
+		backend->expire_us = keep_until_us;
 }
 
 static gboolean is_long_removed(gpointer id, gpointer value, gpointer now)
@@ -294,11 +294,11 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct backend *backend = value;
 
-		if (backend->lapsed_us && backend->lapsed_us <= now_us)
+		if (backend->expire_us && backend->expire_us <= now_us)
 			g_ptr_array_add(expired, value);
 	}
 	for (i = 0; i < expired->len; i++)
-		take_out(table, expired->pdata[i], now_us);
+		remove_from_table(table, expired->pdata[i], now_us);
 	g_ptr_array_unref(expired);
 	g_hash_table_foreach_remove(table->removed, is_long_removed, &now_us);
 }
@@ -309,20 +309,22 @@
 	return g_hash_table_lookup(table->by_id, id);
 }
 
-struct backend *backend_table_find_life(const struct backend_table *table,
-					uint32_t life)
+struct backend *
+backend_table_find_incarnation(const struct backend_table *table,
+			       uint32_t incarnation)
 {
-	return g_hash_table_lookup(table->by_life, GUINT_TO_POINTER(life));
+	return g_hash_table_lookup(table->by_incarnation,
+				   GUINT_TO_POINTER(incarnation));
 }
 
-const GPtrArray *backend_table_of(const struct backend_table *table,
-				  const char *service)
+const GPtrArray *backend_table_by_service(const struct backend_table *table,
+					  const char *service)
 {
 	return g_hash_table_lookup(table->by_service, service);
 }
 
-static void chill_domain(struct backend_table *table, const char *domain,
-			 uint64_t until_us)
+static void mark_domain_cold(struct backend_table *table, const char *domain,
+			     uint64_t until_us)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -340,13 +342,13 @@
 void backend_table_evacuate(struct backend_table *table, const char *domain,
 			    bool begins, uint64_t warmup_us, uint64_t now_us)
 {
-	table->disturbed_us = now_us;
+	table->last_loss_us = now_us;
 	if (begins) {
 		g_hash_table_add(table->evacuated, g_strdup(domain));
 		return;
 	}
 	if (g_hash_table_remove(table->evacuated, domain))
-		chill_domain(table, domain, now_us + warmup_us);
+		mark_domain_cold(table, domain, now_us + warmup_us);
 }
 
 bool backend_table_evacuated(const struct backend_table *table,
@@ -398,35 +400,37 @@
 void backend_begin(struct backend *backend, double work_us, uint64_t now_us)
 {
 	backend->in_flight++;
-	backend->pledged_us += work_us;
-	backend->served++;
+	backend->in_flight_work_us += work_us;
+	backend->sends++;
 	if (backend->cold_until_us <= now_us)
 		return;
-	backend->cold_log[backend->cold_next++ % COLD_LOG] = now_us;
+	backend->cold_log[backend->cold_next++ % COLD_LOG_SIZE] = now_us;
 }
 
 void backend_end(struct backend *backend, double work_us)
 {
 	backend->in_flight--;
-	backend->pledged_us -= work_us;
+	backend->in_flight_work_us -= work_us;
 }
 
 double backend_mean_work_us(const struct backend *backend)
 {
-	return backend->in_flight ? backend->pledged_us / backend->in_flight :
-				    0;
+	return backend->in_flight ?
+		       backend->in_flight_work_us / backend->in_flight :
+		       0;
 }
 
-void backend_reported(struct backend *backend, uint32_t running,
-		      uint32_t waiting, uint64_t now_us)
+void backend_note_load(struct backend *backend, uint32_t running,
+		       uint32_t waiting, uint64_t now_us)
 {
 	double total = (double)running + waiting;
 
-	backend->others = fmax(0, total - backend->in_flight);
-	backend->others_us = now_us;
+	backend->other_load = fmax(0, total - backend->in_flight);
+	backend->other_load_at_us = now_us;
 }
 
-void backend_table_forget_words(struct backend_table *table, uint32_t sender)
+void backend_table_clear_peer_loads(struct backend_table *table,
+				    uint32_t sender)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -436,54 +440,58 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct backend *backend = value;
 
-		for (i = 0; i < BACKEND_WORDS; i++)
-			if (backend->told[i].sender == sender)
-				backend->told[i].at_us = 0;
+		for (i = 0; i < BACKEND_MAX_PEER_LOADS; i++)
+			if (backend->peer_loads[i].sender == sender)
+				backend->peer_loads[i].at_us = 0;
 	}
 }
 
-void backend_told(struct backend *backend, uint32_t sender, uint32_t in_flight,
-		  uint64_t now_us)
+void backend_note_peer_load(struct backend *backend, uint32_t sender,
+			    uint32_t in_flight, uint64_t now_us)
 {
-	struct backend_word *oldest = &backend->told[0];
+	struct backend_peer_load *oldest = &backend->peer_loads[0];
 	uint32_t i;
 
-	for (i = 1; i < BACKEND_WORDS; i++)
-		if (backend->told[i].at_us < oldest->at_us)
-			oldest = &backend->told[i];
+	for (i = 1; i < BACKEND_MAX_PEER_LOADS; i++)
+		if (backend->peer_loads[i].at_us < oldest->at_us)
+			oldest = &backend->peer_loads[i];
 	oldest->sender = sender;
 	oldest->in_flight = in_flight;
 	oldest->at_us = now_us;
 }
 
-static double told_load(const struct backend *backend, uint64_t now_us)
+static double sum_peer_loads(const struct backend *backend, uint64_t now_us)
 {
 	double load = 0;
 	uint32_t i;
 
-	for (i = 0; i < BACKEND_WORDS; i++) {
-		const struct backend_word *word = &backend->told[i];
+	for (i = 0; i < BACKEND_MAX_PEER_LOADS; i++) {
+		const struct backend_peer_load *report =
+			&backend->peer_loads[i];
 
-		if (word->at_us && now_us - word->at_us < TOLD_VALID_US)
-			load += word->in_flight;
+		if (report->at_us &&
+		    now_us - report->at_us < PEER_LOAD_VALID_US)
+			load += report->in_flight;
 	}
 	return load;
 }
 
 double backend_load(const struct backend *backend, uint64_t now_us)
 {
-	double age_us = (double)(now_us - backend->others_us);
-	double others = backend->others * exp(-age_us / OTHERS_FADE_US);
+	double age_us = (double)(now_us - backend->other_load_at_us);
+	double others =
+		backend->other_load * exp(-age_us / OTHER_LOAD_DECAY_US);
 
-	return backend->in_flight + fmax(others, told_load(backend, now_us));
+	return backend->in_flight +
+	       fmax(others, sum_peer_loads(backend, now_us));
 }
 
-void backend_ended_connection(struct backend *backend, uint64_t now_us)
+void backend_closed_connection(struct backend *backend, uint64_t now_us)
 {
-	if (now_us - backend->ended_us > ENDED_TOGETHER_US)
-		backend->ended_together = 0;
-	backend->ended_together++;
-	backend->ended_us = now_us;
+	if (now_us - backend->disconnect_us > DISCONNECT_BURST_US)
+		backend->disconnect_burst = 0;
+	backend->disconnect_burst++;
+	backend->disconnect_us = now_us;
 }
 
 void backend_answered(struct backend *backend, uint64_t sent_us)
@@ -503,7 +511,7 @@
 
 	if (now_us < backend->shun_until_us)
 		return;
-	step_us = CLAMP(step_us, SHUN_FIRST_US, SHUN_MOST_US);
+	step_us = CLAMP(step_us, SHUN_FIRST_US, SHUN_MAX_US);
 	backend->shun_step_us = step_us;
 	backend->shun_until_us = now_us + step_us;
 }
@@ -511,14 +519,14 @@
 void backend_failed(struct backend *backend, uint64_t now_us)
 {
 	backend->failures += FAILURE_WEIGHT * (1.0 - backend->failures);
-	if (backend->failures > FAILURES_SHUN)
+	if (backend->failures > SHUN_FAILURE_SHARE)
 		shun(backend, now_us);
 }
 
 void backend_unreachable(struct backend_table *table, struct backend *backend,
 			 uint64_t now_us)
 {
-	table->disturbed_us = now_us;
+	table->last_loss_us = now_us;
 	backend->unreachable_us = now_us;
 	backend_failed(backend, now_us);
 	shun(backend, now_us);
@@ -529,7 +537,7 @@
 	uint32_t sends = 0;
 	uint32_t i;
 
-	for (i = 0; i < COLD_LOG; i++)
+	for (i = 0; i < COLD_LOG_SIZE; i++)
 		if (backend->cold_log[i] &&
 		    now_us - backend->cold_log[i] < US_PER_S)
 			sends++;
--- a/packages/core/warmth.c
+++ b/packages/core/warmth.c
@@ -2,17 +2,17 @@
 
 #include "core/duration.h"
 
-/* Pairs that wait to be told, at most; more are found out by trying. */
-#define NEWS_MOST 4096
+/* Unsent updates kept; more are dropped, and peers learn by their requests. */
+#define MAX_UPDATES 4096
 
 /*
- * How much later than expected a first request may end before its pair counts
- * as not warming: the news take a tenth of a second, and expectations are off
- * by a third of a cold run.
+ * How much later than expected a first request may end before its pair no
+ * longer counts as warming. Updates take 100 ms, and expected times are off by
+ * a third of a cold run.
  */
 #define WARMING_GRACE_US (300 * US_PER_MS)
 
-/* Keys and values are pointer-sized: 64 bits on every VM that we run on. */
+/* Keys and values are stored as pointers, which are 64 bits on all VMs used. */
 G_STATIC_ASSERT(sizeof(gpointer) == sizeof(uint64_t));
 
 static gpointer pair_key(struct warm_pair pair)
@@ -65,34 +65,36 @@
 {
 	warmth->seen = g_hash_table_new(hash_key, g_direct_equal);
 	warmth->warming = g_hash_table_new(hash_key, g_direct_equal);
-	warmth->news = g_array_new(FALSE, FALSE, sizeof(struct warm_news));
-	warmth->far_news = g_array_new(FALSE, FALSE, sizeof(struct warm_news));
+	warmth->updates = g_array_new(FALSE, FALSE, sizeof(struct warm_update));
+	warmth->far_updates =
+		g_array_new(FALSE, FALSE, sizeof(struct warm_update));
 }
 
 void warmth_release(struct warmth *warmth)
 {
 	g_hash_table_destroy(warmth->seen);
 	g_hash_table_destroy(warmth->warming);
-	g_array_unref(warmth->news);
-	g_array_unref(warmth->far_news);
+	g_array_unref(warmth->updates);
+	g_array_unref(warmth->far_updates);
 }
 
-static void add_news(GArray *news, struct warm_pair pair, uint64_t ready_us)
+static void add_update(GArray *updates, struct warm_pair pair,
+		       uint64_t ready_us)
 {
-	const struct warm_news one = { pair, ready_us };
+	const struct warm_update update = { pair, ready_us };
 
-	if (news->len < NEWS_MOST)
-		g_array_append_val(news, one);
+	if (updates->len < MAX_UPDATES)
+		g_array_append_val(updates, update);
 }
 
-static void tell(struct warmth *warmth, struct warm_pair pair,
-		 enum warm_source source, uint64_t ready_us)
+static void queue_update(struct warmth *warmth, struct warm_pair pair,
+			 enum warm_source source, uint64_t ready_us)
 {
-	if (source == WARM_TOLD)
+	if (source == WARM_RECEIVED)
 		return;
-	add_news(warmth->news, pair, ready_us);
+	add_update(warmth->updates, pair, ready_us);
 	if (source == WARM_OWN)
-		add_news(warmth->far_news, pair, ready_us);
+		add_update(warmth->far_updates, pair, ready_us);
 }
 
 void warmth_note(struct warmth *warmth, struct warm_pair pair,
@@ -106,7 +108,7 @@
 			    (gpointer)(now_us / US_PER_MS + 1));
 	g_hash_table_remove(warmth->warming, pair_key(pair));
 	if (!known)
-		tell(warmth, pair, source, 0);
+		queue_update(warmth, pair, source, 0);
 }
 
 void warmth_begin(struct warmth *warmth, struct warm_pair pair,
@@ -114,12 +116,12 @@
 {
 	if (warmth_has(warmth, pair) || warmth_ready_us(warmth, pair, now_us))
 		return;
-	/* Those that ended stay until then; all of them are forgotten. */
+	/* Entries past their time are only removed here, with all others. */
 	if (g_hash_table_size(warmth->warming) >= WARMTH_MAX_ENTRIES)
 		g_hash_table_remove_all(warmth->warming);
 	g_hash_table_insert(warmth->warming, pair_key(pair),
 			    (gpointer)(ready_us / US_PER_MS + 1));
-	tell(warmth, pair, source, ready_us);
+	queue_update(warmth, pair, source, ready_us);
 }
 
 void warmth_abandon(struct warmth *warmth, struct warm_pair pair)
--- a/packages/edge/gossip.c
+++ b/packages/edge/gossip.c
@@ -52,7 +52,8 @@
 		if (!member || member == edge->members->self)
 			continue;
 		served = member_serves(edge->members, member, now_us);
-		if (member_heard(member, life->number, life->leaving, now_us) &&
+		if (member_note_heartbeat(member, life->number, life->leaving,
+					  now_us) &&
 		    served == life->leaving)
 			note_state(edge, member);
 	}
@@ -71,8 +72,8 @@
 		member_table_find_hash(edge->members, beat->lives[0].member);
 
 	if (sender && strcmp(sender->region, edge->settings.region) != 0)
-		return WARM_PASSED_ON;
-	return WARM_TOLD;
+		return WARM_RELAYED;
+	return WARM_RECEIVED;
 }
 
 static void take_pair(struct warmth *warmth, const struct beat_pair *pair,
@@ -95,14 +96,15 @@
 	for (i = 0; i < beat->pair_count; i++)
 		take_pair(&edge->warmth, &beat->pairs[i], source, now_us);
 	if (beat->load_count)
-		backend_table_forget_words(edge->backends, sender);
+		backend_table_clear_peer_loads(edge->backends, sender);
 	for (i = 0; i < beat->load_count; i++) {
-		struct backend *backend = backend_table_find_life(
+		struct backend *backend = backend_table_find_incarnation(
 			edge->backends, beat->loads[i].backend);
 
 		if (backend)
-			backend_told(backend, sender, beat->loads[i].in_flight,
-				     now_us);
+			backend_note_peer_load(backend, sender,
+					       beat->loads[i].in_flight,
+					       now_us);
 	}
 }
 
@@ -203,12 +205,12 @@
 
 	/* Told after the digests, each change would make neighbours call. */
 	gossip_tell_changes(gossip);
-	self->beat = gossip->epoch_us + edge_now_us(edge);
+	self->heartbeat = gossip->epoch_us + edge_now_us(edge);
 	self->leaving = !edge_is_ready(edge);
 	gossip_beat_near(gossip);
 	gossip_beat_words(gossip);
 	if (gossip->rounds++ % GOSSIP_FAR_EVERY == 0 ||
-	    edge->warmth.far_news->len)
+	    edge->warmth.far_updates->len)
 		gossip_beat_far(gossip);
 }
 
@@ -216,8 +218,8 @@
 {
 	const struct warmth *warmth = &gossip->edge->warmth;
 
-	return gossip->ticks % GOSSIP_TICKS_A_BEAT == 0 || warmth->news->len ||
-	       warmth->far_news->len;
+	return gossip->ticks % GOSSIP_TICKS_A_BEAT == 0 ||
+	       warmth->updates->len || warmth->far_updates->len;
 }
 
 static void on_timer(uv_timer_t *timer)
--- a/packages/edge/gossip_send.c
+++ b/packages/edge/gossip_send.c
@@ -35,7 +35,7 @@
 	struct beat_life *life = &beat->lives[beat->life_count++];
 
 	life->member = member->hash;
-	life->number = member->beat;
+	life->number = member->heartbeat;
 	life->leaving = member->leaving;
 }
 
@@ -72,14 +72,14 @@
 
 		if (!backend->in_flight)
 			continue;
-		load->backend = backend->life;
+		load->backend = backend->incarnation;
 		load->in_flight = backend->in_flight;
 		beat->load_count++;
 	}
 }
 
 /* When the server will be warm; 0: it is, or must be by now. */
-static uint16_t ready_ms(const struct warm_news *news, uint64_t now_us)
+static uint16_t ready_ms(const struct warm_update *news, uint64_t now_us)
 {
 	if (news->ready_us <= now_us)
 		return 0;
@@ -97,8 +97,8 @@
 
 	for (taken = 0; taken < news->len && beat->pair_count < BEAT_MAX_PAIRS;
 	     taken++) {
-		const struct warm_news *one =
-			&g_array_index(news, struct warm_news, taken);
+		const struct warm_update *one =
+			&g_array_index(news, struct warm_update, taken);
 		struct beat_pair *pair = &beat->pairs[beat->pair_count];
 
 		pair->pair = one->pair;
@@ -145,7 +145,7 @@
 {
 	const struct edge *edge = gossip->edge;
 
-	return member_table_reads(edge->members, edge_now_us(edge));
+	return member_table_is_reader(edge->members, edge_now_us(edge));
 }
 
 /* Whether this round's beat goes to the neighbour. */
@@ -329,7 +329,7 @@
 		  gossip->rounds % GOSSIP_FAR_EVERY ? FEW_LIVES :
 						      BEAT_MAX_LIVES - 1);
 	add_loads(edge, &beat);
-	move_news(edge->warmth.news, &beat, edge_now_us(edge));
+	move_news(edge->warmth.updates, &beat, edge_now_us(edge));
 	if (gossip->sync && gossip_reads_for_others(gossip))
 		beat.vouch_count = sync_vouches(gossip->sync, beat.vouches);
 	send_near(gossip, &beat);
@@ -340,7 +340,7 @@
 	struct beat beat = { .life_count = 0 };
 
 	add_lives(gossip, &beat, FEW_LIVES);
-	move_news(gossip->edge->warmth.far_news, &beat,
+	move_news(gossip->edge->warmth.far_updates, &beat,
 		  edge_now_us(gossip->edge));
 	send_far(gossip, &beat);
 }
--- a/tests/core/edge_core_test.cc
+++ b/tests/core/edge_core_test.cc
@@ -1,4 +1,4 @@
-/* The small decisions of the data path, each by its table of cases. */
+/* Tests of small modules of the data path. */
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -26,7 +26,7 @@
 	uint64_t us;
 };
 
-TEST(DurationTest, ReadsSpans)
+TEST(DurationTest, ParsesSpans)
 {
 	const span_case cases[] = {
 		{ "250ms", true, 250000 }, { "2.5s", true, 2500000 },
@@ -110,7 +110,7 @@
 	}
 }
 
-TEST_F(RouteTableTest, WhatIsMalformedIsRefused)
+TEST_F(RouteTableTest, AMalformedPrefixIsRefused)
 {
 	ASSERT_TRUE(route_table_seal(table, nullptr));
 	add("bare", "h.example", "/a", "s");
@@ -128,7 +128,7 @@
 	g_error_free(error);
 }
 
-/* Any run of requests is split by the weights, short of one request. */
+/* After any number of requests the split is off by at most one request. */
 TEST_F(RouteTableTest, ASplitKeepsItsWeights)
 {
 	struct route *route = add("split", "h.example", "/s/", "s");
@@ -151,29 +151,29 @@
 	uint32_t unreachable;
 	uint64_t left_ms;
 	enum send_outcome outcome;
-	enum retry_step step;
+	enum retry_decision step;
 };
 
-TEST(RetryTest, OnlyWhatMayRunTwiceIsSentTwice)
+TEST(RetryTest, OnlyRequestsThatMayRunTwiceAreRetried)
 {
 	const retry_case cases[] = {
-		{ "unreachable costs nothing", false, 0, 1, 900,
-		  SEND_UNREACHABLE, RETRY_FREE },
-		{ "but not for ever", false, 0, 3, 900, SEND_UNREACHABLE,
-		  RETRY_NOT },
+		{ "unreachable: free retry", false, 0, 1, 900, SEND_UNREACHABLE,
+		  RETRY_FREE },
+		{ "unreachable three times", false, 0, 3, 900, SEND_UNREACHABLE,
+		  RETRY_NONE },
 		{ "not executed: another server", false, 1, 0, 900,
-		  SEND_NOT_EXECUTED, RETRY_PAID },
+		  SEND_NOT_EXECUTED, RETRY_BUDGETED },
 		{ "broken: it may have run", false, 1, 0, 900, SEND_BROKEN,
-		  RETRY_NOT },
-		{ "failed: it ran", false, 1, 0, 900, SEND_FAILED, RETRY_NOT },
+		  RETRY_NONE },
+		{ "failed: it ran", false, 1, 0, 900, SEND_FAILED, RETRY_NONE },
 		{ "broken, idempotent", true, 1, 0, 900, SEND_BROKEN,
-		  RETRY_PAID },
+		  RETRY_BUDGETED },
 		{ "failed, idempotent", true, 1, 0, 900, SEND_FAILED,
-		  RETRY_PAID },
+		  RETRY_BUDGETED },
 		{ "all attempts used", true, 2, 0, 900, SEND_BROKEN,
-		  RETRY_NOT },
+		  RETRY_NONE },
 		{ "no time for an answer", true, 1, 0, 90, SEND_BROKEN,
-		  RETRY_NOT },
+		  RETRY_NONE },
 	};
 
 	for (const retry_case &c : cases) {
@@ -185,12 +185,12 @@
 		state.unreachable = c.unreachable;
 		state.left_us = c.left_ms * US_PER_MS;
 		state.usual_us = 100 * US_PER_MS;
-		EXPECT_EQ(c.step, retry_after(&state, c.outcome)) << c.name;
+		EXPECT_EQ(c.step, retry_decide(&state, c.outcome)) << c.name;
 	}
 }
 
-/* Over any window the extra requests stay under the bound, nodes together. */
-TEST(ExtraBudgetTest, TheBoundHoldsInEveryWindow)
+/* In any window the extra requests of all nodes together keep the limit. */
+TEST(ExtraBudgetTest, TheLimitHoldsInEveryWindow)
 {
 	const struct extra_budget_rule rule = { 0.2, 50, 10 * US_PER_S };
 	std::vector<uint64_t> taken;
@@ -226,7 +226,7 @@
 	}
 }
 
-/* Whether a request leaves, by what it prefers and its object, if any. */
+/* Whether a request with this preference and object (or none) leaves. */
 bool leaves(struct region_flow *flow, bool prefers, uint64_t now_us,
 	    const uint32_t *object = nullptr, bool free = false)
 {
@@ -237,8 +237,8 @@
 	return region_flow_leave(flow, &request, now_us);
 }
 
-/* From one window of 2 s to the next the share moves by less than 0.15. */
-TEST(RegionFlowTest, TheShareMovesByBoundedSteps)
+/* Between two windows of 2 s the share changes by at most 0.15. */
+TEST(RegionFlowTest, TheShareChangesInBoundedSteps)
 {
 	struct region_flow flow;
 	std::vector<int> windows;
@@ -261,7 +261,7 @@
 		EXPECT_LE(abs(windows[i] - windows[i - 1]), 0.15 * 200) << i;
 }
 
-TEST(RegionFlowTest, AfterALossItMovesFreely)
+TEST(RegionFlowTest, AfterALossThereIsNoLimit)
 {
 	struct region_flow flow;
 
@@ -272,11 +272,12 @@
 }
 
 /*
- * Half of a region's requests have to leave it. Each object keeps to one side:
- * with requests drawn by chance, half of them met servers that another region
- * warms for their object, and now 2 in 100 do.
+ * Half of a region's requests have to leave it, and each object's requests
+ * mostly stay on one side. If requests were drawn at random, half of them would
+ * reach servers whose caches another region fills for the object; this way 2 in
+ * 100 do.
  */
-TEST(RegionFlowTest, ObjectsLeaveRatherThanRequests)
+TEST(RegionFlowTest, WholeObjectsLeave)
 {
 	std::map<uint32_t, std::array<int, 2>> sides;
 	struct region_flow flow;
@@ -304,10 +305,11 @@
 }
 
 /*
- * One object has a third of the requests, and the share passes its place: were
- * it to leave at once, a third of all would change region within a window.
+ * One object has a third of the requests and its place in the order comes
+ * within the share. It must leave in steps, or a third of all requests would
+ * change region within one window.
  */
-TEST(RegionFlowTest, AnObjectOfManyRequestsLeavesBySteps)
+TEST(RegionFlowTest, AnObjectWithManyRequestsLeavesInSteps)
 {
 	struct region_flow flow;
 	std::vector<int> windows;
@@ -368,45 +370,46 @@
 	struct member_table *table;
 };
 
-TEST_F(MemberTableTest, AMemberLivesWhileItsBeatsRise)
+TEST_F(MemberTableTest, AMemberIsLiveWhileItsHeartbeatIncreases)
 {
 	struct member *b = member_table_find(table, "b");
 
-	EXPECT_EQ(1u, entries("r1")) << "b was never heard of";
-	EXPECT_TRUE(member_heard(b, 10, false, now_us));
+	EXPECT_EQ(1u, entries("r1")) << "no heartbeat of b";
+	EXPECT_TRUE(member_note_heartbeat(b, 10, false, now_us));
 	EXPECT_EQ(2u, entries("r1"));
-	now_us += MEMBER_SILENT_US;
-	EXPECT_FALSE(member_heard(b, 10, false, now_us)) << "an old beat";
+	now_us += MEMBER_TIMEOUT_US;
+	EXPECT_FALSE(member_note_heartbeat(b, 10, false, now_us))
+		<< "an old heartbeat";
 	EXPECT_EQ(1u, entries("r1"));
-	EXPECT_TRUE(member_heard(b, 11, false, now_us));
+	EXPECT_TRUE(member_note_heartbeat(b, 11, false, now_us));
 	EXPECT_EQ(2u, entries("r1"));
-	member_heard(b, 12, true, now_us);
-	EXPECT_EQ(1u, entries("r1")) << "it leaves";
+	member_note_heartbeat(b, 12, true, now_us);
+	EXPECT_EQ(1u, entries("r1")) << "b is leaving";
 }
 
-TEST_F(MemberTableTest, CallersOfARegionWithoutNodesGetTheOthers)
+TEST_F(MemberTableTest, CallersOfARegionWithoutNodesGetAllNodes)
 {
 	EXPECT_EQ(1u, entries("r9"));
-	member_heard(member_table_find(table, "c"), 1, false, now_us);
+	member_note_heartbeat(member_table_find(table, "c"), 1, false, now_us);
 	EXPECT_EQ(2u, entries("r9"));
 	EXPECT_EQ(1u, entries("r2"));
 }
 
-/* One live node of a region reads for it; the next one when it falls silent. */
-TEST_F(MemberTableTest, OneOfARegionReads)
+/* A region has one reader; when it times out the next node takes over. */
+TEST_F(MemberTableTest, ARegionHasOneReader)
 {
 	struct member *b = member_table_find(table, "b");
 
 	b->hash = 0;
 	EXPECT_EQ(table->self, member_table_reader(table, now_us));
-	member_heard(b, 1, false, now_us);
+	member_note_heartbeat(b, 1, false, now_us);
 	EXPECT_EQ(b, member_table_reader(table, now_us));
-	now_us += MEMBER_SILENT_US;
+	now_us += MEMBER_TIMEOUT_US;
 	EXPECT_EQ(table->self, member_table_reader(table, now_us));
 }
 
-/* What it tells goes to all of its region: a wide link comes first. */
-TEST_F(MemberTableTest, TheWidestLinkReads)
+/* A reader sends to its whole region, so the widest link comes first. */
+TEST_F(MemberTableTest, TheNodeWithTheWidestLinkIsTheReader)
 {
 	struct member *b = member_table_find(table, "b");
 	struct member *d = place("d", "r1");
@@ -417,9 +420,10 @@
 	d->peer.port = 1;
 	d->link_mbps = 200;
 	for (const char *name : { "b", "d" })
-		member_heard(member_table_find(table, name), 1, false, now_us);
+		member_note_heartbeat(member_table_find(table, name), 1, false,
+				      now_us);
 	EXPECT_EQ(d, member_table_reader(table, now_us));
-	EXPECT_EQ(2u, member_table_read_rank(table));
+	EXPECT_EQ(2u, member_table_reader_rank(table));
 	ASSERT_EQ(2u, member_table_first_readers(table, first, 2));
 	EXPECT_EQ(d, first[0]);
 	EXPECT_EQ(b, first[1]);
@@ -427,64 +431,66 @@
 	EXPECT_EQ(d, first[0]);
 	table->self->link_mbps = 1000;
 	EXPECT_EQ(table->self, member_table_reader(table, now_us));
-	EXPECT_EQ(0u, member_table_read_rank(table));
+	EXPECT_EQ(0u, member_table_reader_rank(table));
 	table->self->leaving = true;
 	EXPECT_EQ(d, member_table_reader(table, now_us));
 }
 
 /*
- * All nodes of a region start at once and have heard nobody yet. Each took
- * itself for the region's reader and called the store, until the first beats
- * were there.
+ * All nodes of a region start together, without any heartbeat received. If
+ * members without a heartbeat counted as dead, each node would take itself for
+ * the reader and call the store until heartbeats arrive.
  */
-TEST_F(MemberTableTest, ANodeThatHasJustStartedIsNoReaderYet)
+TEST_F(MemberTableTest, ANodeThatHasJustStartedIsNotTheReader)
 {
 	struct member *b = member_table_find(table, "b");
 
 	b->hash = 0;
-	EXPECT_TRUE(member_table_reads(table, now_us));
-	b->known_us = now_us;
-	EXPECT_FALSE(member_table_reads(table, now_us));
-	member_heard(b, 1, true, now_us);
-	EXPECT_FALSE(member_table_reads(table, now_us)) << "b starts, too";
-	now_us += MEMBER_SILENT_US;
-	EXPECT_TRUE(member_table_reads(table, now_us)) << "b never came";
-	member_heard(b, 2, false, now_us);
-	EXPECT_FALSE(member_table_reads(table, now_us));
+	EXPECT_TRUE(member_table_is_reader(table, now_us));
+	b->listed_us = now_us;
+	EXPECT_FALSE(member_table_is_reader(table, now_us));
+	member_note_heartbeat(b, 1, true, now_us);
+	EXPECT_FALSE(member_table_is_reader(table, now_us))
+		<< "b is starting, too";
+	now_us += MEMBER_TIMEOUT_US;
+	EXPECT_TRUE(member_table_is_reader(table, now_us))
+		<< "no heartbeat of b in time";
+	member_note_heartbeat(b, 2, false, now_us);
+	EXPECT_FALSE(member_table_is_reader(table, now_us));
 	table->self->link_mbps = 1;
-	EXPECT_TRUE(member_table_reads(table, now_us));
+	EXPECT_TRUE(member_table_is_reader(table, now_us));
 	table->self->leaving = true;
-	EXPECT_FALSE(member_table_reads(table, now_us));
+	EXPECT_FALSE(member_table_is_reader(table, now_us));
 }
 
 /*
- * 82 nodes are replaced a day. A row of one that is gone would keep its part of
- * the extra requests, and be an owner of cold servers, for ever.
+ * 82 nodes are replaced a day. If the row of a lost node stayed, it would keep
+ * its share of the retry budget and of cold servers' allowances for ever.
  */
-TEST_F(MemberTableTest, ANodeThatIsLostIsStruckByItsRegionsReader)
+TEST_F(MemberTableTest, ALostNodeIsRemovedByItsRegionsReader)
 {
 	const uint64_t forget_us = 600 * US_PER_S;
 	struct member *b = member_table_find(table, "b");
 	struct member *c = member_table_find(table, "c");
 
-	b->known_us = now_us;
-	c->known_us = now_us;
+	b->listed_us = now_us;
+	c->listed_us = now_us;
 	now_us += forget_us - 1;
-	EXPECT_EQ(nullptr, member_table_lost(table, forget_us, now_us));
-	member_heard(c, 1, false, now_us);
+	EXPECT_EQ(nullptr, member_table_find_expired(table, forget_us, now_us));
+	member_note_heartbeat(c, 1, false, now_us);
 	now_us += 1;
-	EXPECT_EQ(b, member_table_lost(table, forget_us, now_us));
+	EXPECT_EQ(b, member_table_find_expired(table, forget_us, now_us));
 	member_table_remove(table, "b");
 	now_us += forget_us;
-	EXPECT_EQ(c, member_table_lost(table, forget_us, now_us))
-		<< "nobody lives in its region";
+	EXPECT_EQ(c, member_table_find_expired(table, forget_us, now_us))
+		<< "no live node in its region";
 	place("d", "r2");
-	member_heard(member_table_find(table, "d"), 1, false, now_us);
-	EXPECT_EQ(nullptr, member_table_lost(table, forget_us, now_us))
-		<< "its own region's reader strikes it";
+	member_note_heartbeat(member_table_find(table, "d"), 1, false, now_us);
+	EXPECT_EQ(nullptr, member_table_find_expired(table, forget_us, now_us))
+		<< "left to its own region's reader";
 }
 
-TEST(WarmthTest, TheTableStaysBounded)
+TEST(WarmthTest, TheTableIsBounded)
 {
 	struct warmth warmth;
 
@@ -492,7 +498,7 @@
 	for (uint32_t i = 0; i < 3 * WARMTH_MAX_ENTRIES; i++) {
 		struct warm_pair pair = { 1, i };
 
-		warmth_note(&warmth, pair, WARM_TOLD, (i + 1) * US_PER_MS);
+		warmth_note(&warmth, pair, WARM_RECEIVED, (i + 1) * US_PER_MS);
 	}
 	struct warm_pair newest = { 1, 3 * WARMTH_MAX_ENTRIES - 1 };
 	struct warm_pair oldest = { 1, 0 };
@@ -502,7 +508,7 @@
 	warmth_release(&warmth);
 }
 
-/* A first request begins, and ends well, badly, or is never heard of again. */
+/* A first request starts, and succeeds, fails or never ends. */
 TEST(WarmthTest, APairIsWarmingUntilItsFirstRequestEnds)
 {
 	const struct warm_pair well = { 1, 1 };
@@ -520,44 +526,44 @@
 			    (double)warmth_ready_us(&warmth, pair, now_us),
 			    2.0 * US_PER_MS);
 	}
-	EXPECT_EQ(3u, warmth.news->len);
+	EXPECT_EQ(3u, warmth.updates->len);
 	warmth_begin(&warmth, well, WARM_OWN, ready_us + 1000, now_us);
-	EXPECT_EQ(3u, warmth.news->len) << "the first one counts";
+	EXPECT_EQ(3u, warmth.updates->len) << "already warming";
 	warmth_note(&warmth, well, WARM_OWN, ready_us);
 	EXPECT_TRUE(warmth_has(&warmth, well));
 	EXPECT_EQ(0u, warmth_ready_us(&warmth, well, ready_us));
-	EXPECT_EQ(4u, warmth.news->len) << "that it's warm is news";
+	EXPECT_EQ(4u, warmth.updates->len) << "an update: it is warm";
 	warmth_begin(&warmth, well, WARM_OWN, ready_us, now_us);
-	EXPECT_EQ(4u, warmth.news->len) << "it is warm already";
+	EXPECT_EQ(4u, warmth.updates->len) << "already warm";
 	warmth_abandon(&warmth, badly);
 	EXPECT_EQ(0u, warmth_ready_us(&warmth, badly, now_us));
 	EXPECT_EQ(0u, warmth_ready_us(&warmth, lost, ready_us + US_PER_S));
 	warmth_release(&warmth);
 }
 
-TEST(BackendTableTest, NodesThatBelieveTheSameHaveTheSameDigest)
+TEST(BackendTableTest, NodesWithTheSameDataHaveTheSameDigest)
 {
 	struct backend_table *a = backend_table_new();
 	struct backend_table *b = backend_table_new();
-	struct backend_facts facts = {};
+	struct backend_info info = {};
 
-	facts.service = "s";
-	facts.domain = "d";
-	facts.region = "r";
-	facts.slots = 3;
+	info.service = "s";
+	info.domain = "d";
+	info.region = "r";
+	info.slots = 3;
 	for (const char *id : { "i-1", "i-2", "i-3" }) {
-		facts.id = id;
-		backend_table_put(a, &facts, 1);
+		info.id = id;
+		backend_table_put(a, &info, 1);
 	}
 	for (const char *id : { "i-3", "i-1", "i-2" }) {
-		facts.id = id;
-		backend_table_put(b, &facts, 2);
+		info.id = id;
+		backend_table_put(b, &info, 2);
 	}
 	EXPECT_EQ(backend_table_digest(a), backend_table_digest(b));
-	facts.draining = true;
-	backend_table_put(b, &facts, 3);
+	info.draining = true;
+	backend_table_put(b, &info, 3);
 	EXPECT_NE(backend_table_digest(a), backend_table_digest(b));
-	backend_table_put(a, &facts, 3);
+	backend_table_put(a, &info, 3);
 	EXPECT_EQ(backend_table_digest(a), backend_table_digest(b));
 	backend_table_remove(a, "i-1", 0, 0, 4);
 	EXPECT_NE(backend_table_digest(a), backend_table_digest(b));
@@ -566,86 +572,88 @@
 }
 
 /*
- * A server crashes and is back under its id within its heartbeats. It has an
- * empty cache and no requests; failures and load of the life before made it
- * look bad, its warm objects look fast. What it may get while it is cold goes
- * on from what the life before got in that second.
+ * A server crashes and restarts under its id before its heartbeats time out. It
+ * starts with an empty cache and no requests, so failures, load and warm
+ * objects of the previous incarnation don't count. Only the log of cold sends
+ * is carried over.
  */
-TEST(BackendTableTest, ALaterStartUnderTheIdIsAnotherServer)
+TEST(BackendTableTest, ARestartUnderTheSameIdIsANewIncarnation)
 {
 	struct backend_table *table = backend_table_new();
-	struct backend_facts facts = {};
+	struct backend_info info = {};
 	uint64_t now_us = 10 * US_PER_S;
 
-	facts.id = "i-1";
-	facts.service = "s";
-	facts.domain = "d1";
-	facts.region = "r1";
-	facts.slots = 4;
-	facts.started_ms = 1000;
-	facts.cold_left_us = US_PER_S;
+	info.id = "i-1";
+	info.service = "s";
+	info.domain = "d1";
+	info.region = "r1";
+	info.slots = 4;
+	info.started_ms = 1000;
+	info.cold_left_us = US_PER_S;
 	struct backend *before =
-		backend_ref(backend_table_put(table, &facts, now_us));
+		backend_ref(backend_table_put(table, &info, now_us));
 	uint64_t digest = backend_table_digest(table);
 	backend_begin(before, 1000, now_us);
-	backend_reported(before, 4, 9, now_us);
+	backend_note_load(before, 4, 9, now_us);
 	for (int i = 0; i < 10; i++)
 		backend_failed(before, now_us);
 
-	facts.started_ms = 2000;
-	struct backend *again = backend_table_put(table, &facts, now_us);
+	info.started_ms = 2000;
+	struct backend *again = backend_table_put(table, &info, now_us);
 	EXPECT_NE(before, again);
 	EXPECT_TRUE(before->gone);
-	EXPECT_NE(before->life, again->life);
-	EXPECT_EQ(before->hash, again->hash) << "objects keep their order";
+	EXPECT_NE(before->incarnation, again->incarnation);
+	EXPECT_EQ(before->hash, again->hash) << "the rendezvous order stays";
 	EXPECT_EQ(0, backend_load(again, now_us));
 	EXPECT_EQ(0, again->failures);
 	EXPECT_EQ(0u, again->shun_until_us);
 	EXPECT_EQ(1u, backend_cold_sends(again, now_us));
 	EXPECT_NE(digest, backend_table_digest(table));
-	EXPECT_EQ(nullptr, backend_table_find_life(table, before->life));
-	EXPECT_EQ(again, backend_table_find_life(table, again->life));
-
-	facts.started_ms = 1000;
-	facts.draining = true;
-	EXPECT_EQ(again, backend_table_put(table, &facts, now_us));
+	EXPECT_EQ(nullptr,
+		  backend_table_find_incarnation(table, before->incarnation));
+	EXPECT_EQ(again,
+		  backend_table_find_incarnation(table, again->incarnation));
+
+	info.started_ms = 1000;
+	info.draining = true;
+	EXPECT_EQ(again, backend_table_put(table, &info, now_us));
 	EXPECT_FALSE(again->draining);
 	backend_end(before, 1000);
 	backend_unref(before);
 	backend_table_free(table);
 }
 
-/* A report is old soon; neighbours' words replace each other, by sender. */
-TEST(BackendTableTest, LoadIsOwnAndOthers)
+/* Reported load decays; a peer's reports can be cleared by sender. */
+TEST(BackendTableTest, LoadIncludesOtherNodesRequests)
 {
 	struct backend_table *table = backend_table_new();
-	struct backend_facts facts = {};
+	struct backend_info info = {};
 	uint64_t now_us = US_PER_S;
 
-	facts.id = "i-1";
-	facts.service = "s";
-	facts.domain = "d";
-	facts.region = "r";
-	facts.slots = 3;
-	struct backend *backend = backend_table_put(table, &facts, now_us);
+	info.id = "i-1";
+	info.service = "s";
+	info.domain = "d";
+	info.region = "r";
+	info.slots = 3;
+	struct backend *backend = backend_table_put(table, &info, now_us);
 	backend_begin(backend, 100, now_us);
 	EXPECT_DOUBLE_EQ(1.0, backend_load(backend, now_us));
-	backend_reported(backend, 3, 1, now_us);
+	backend_note_load(backend, 3, 1, now_us);
 	EXPECT_DOUBLE_EQ(4.0, backend_load(backend, now_us));
 	EXPECT_LT(backend_load(backend, now_us + 3 * US_PER_S), 1.5);
-	backend_told(backend, 77, 5, now_us);
-	backend_told(backend, 78, 2, now_us);
+	backend_note_peer_load(backend, 77, 5, now_us);
+	backend_note_peer_load(backend, 78, 2, now_us);
 	EXPECT_DOUBLE_EQ(8.0, backend_load(backend, now_us));
-	backend_table_forget_words(table, 77);
+	backend_table_clear_peer_loads(table, 77);
 	EXPECT_DOUBLE_EQ(4.0, backend_load(backend, now_us));
 	backend_table_free(table);
 }
 
-/* Rows of one server in the order in which they come, and what is believed. */
+/* A row of the server as received, and the state that the table then has. */
 struct row_step {
 	uint64_t version;
-	char says; /* 'r'eady, 'd'raining, 'g'one */
-	char believed;
+	char state; /* 'r'eady, 'd'raining, 'g'one */
+	char expected; /* state in the table */
 };
 
 struct row_case {
@@ -655,14 +663,14 @@
 
 const row_case row_cases[] = {
 	{ "InOrder", { { 3, 'r', 'r' }, { 5, 'd', 'd' }, { 9, 'g', 'g' } } },
-	{ "AnOlderRowThatIsReady", { { 5, 'd', 'd' }, { 3, 'r', 'd' } } },
-	{ "AnOlderRowOfOneThatLeft",
+	{ "OlderRowReady", { { 5, 'd', 'd' }, { 3, 'r', 'd' } } },
+	{ "OlderRowOfARemovedServer",
 	  { { 3, 'r', 'r' }, { 9, 'g', 'g' }, { 5, 'd', 'g' } } },
-	{ "AnOlderRowOfOneNeverSeen", { { 9, 'g', 'g' }, { 5, 'r', 'g' } } },
-	{ "AnOlderRemoval", { { 9, 'r', 'r' }, { 5, 'g', 'r' } } },
-	{ "BackAfterALapse",
+	{ "OlderRowOfAnUnknownServer", { { 9, 'g', 'g' }, { 5, 'r', 'g' } } },
+	{ "OlderRemoval", { { 9, 'r', 'r' }, { 5, 'g', 'r' } } },
+	{ "ListedAgainAfterRemoval",
 	  { { 3, 'r', 'r' }, { 5, 'g', 'g' }, { 6, 'r', 'r' } } },
-	{ "TheSameAgain", { { 5, 'd', 'd' }, { 5, 'd', 'd' } } },
+	{ "SameRowAgain", { { 5, 'd', 'd' }, { 5, 'd', 'd' } } },
 	{ "WithoutVersions",
 	  { { 0, 'd', 'd' },
 	    { 0, 'r', 'r' },
@@ -674,27 +682,27 @@
 {
 };
 
-TEST_P(RowTest, TheNewestRowIsBelieved)
+TEST_P(RowTest, TheNewestRowWins)
 {
 	struct backend_table *table = backend_table_new();
-	struct backend_facts facts = {};
+	struct backend_info info = {};
 	uint64_t now_us = 1;
 
-	facts.id = "i-1";
-	facts.service = "s";
-	facts.domain = "d1";
-	facts.region = "r1";
+	info.id = "i-1";
+	info.service = "s";
+	info.domain = "d1";
+	info.region = "r1";
 	for (const row_step &step : GetParam().steps) {
-		facts.version = step.version;
-		facts.draining = step.says == 'd';
-		if (step.says == 'g')
+		info.version = step.version;
+		info.draining = step.state == 'd';
+		if (step.state == 'g')
 			backend_table_remove(table, "i-1", step.version, 0,
 					     now_us);
 		else
-			backend_table_put(table, &facts, now_us);
+			backend_table_put(table, &info, now_us);
 		const struct backend *known = backend_table_find(table, "i-1");
-		char believed = !known ? 'g' : known->draining ? 'd' : 'r';
-		EXPECT_EQ(step.believed, believed) << step.version;
+		char state = !known ? 'g' : known->draining ? 'd' : 'r';
+		EXPECT_EQ(step.expected, state) << step.version;
 		now_us++;
 	}
 	backend_table_free(table);
--- a/tests/core/suspect_fleet.h
+++ b/tests/core/suspect_fleet.h
@@ -209,7 +209,7 @@
 	{
 		std::string domain =
 			"d" + std::to_string(server.number % DOMAINS);
-		struct backend_facts facts = {};
+		struct backend_info facts = {};
 
 		server.id = "i-" + std::to_string(next_life_++);
 		facts.id = server.id.c_str();
@@ -217,8 +217,8 @@
 		facts.domain = domain.c_str();
 		facts.region = "r";
 		facts.slots = 1;
-		server.life =
-			backend_table_put(backends_.get(), &facts, now_us)->life;
+		server.life = backend_table_put(backends_.get(), &facts, now_us)
+				      ->incarnation;
 	}
 	void restart()
 	{
--- a/tests/edge/sync_test.cc
+++ b/tests/edge/sync_test.cc
@@ -112,7 +112,7 @@
 		struct backend *backend =
 			backend_table_find(edge->backends, "i-1");
 
-		return !backend || backend->lapsed_us;
+		return !backend || backend->expire_us;
 	});
 	ASSERT_TRUE(knows("i-1"));
 	EXPECT_EQ(200, status_of(answer_to(get("a1", "/r/"))));
@@ -195,8 +195,9 @@
 		struct beat_vouch vouches[BEAT_MAX_VOUCHES];
 		uint32_t count = sync_vouches(sync, vouches);
 
-		member_heard(member_table_find(edge->members, "reader"), ++beat,
-			     false, edge_now_us(edge));
+		member_note_heartbeat(member_table_find(edge->members,
+							"reader"),
+				      ++beat, false, edge_now_us(edge));
 		for (uint32_t i = 0; i < count; i++) {
 			vouches[i].age_ms = age_ms;
 			vouches[i].digest += differs;
@@ -284,8 +285,9 @@
 		struct beat_vouch vouches[BEAT_MAX_VOUCHES];
 		uint32_t count = sync_vouches(sync, vouches);
 
-		member_heard(member_table_find(edge->members, "reader"), ++beat,
-			     false, edge_now_us(edge));
+		member_note_heartbeat(member_table_find(edge->members,
+							"reader"),
+				      ++beat, false, edge_now_us(edge));
 		for (uint32_t i = 0; i < count; i++) {
 			vouches[i].age_ms = 0;
 			vouches[i].digest += vouches[i].table ==
@@ -404,7 +406,7 @@
 	start_node();
 	ASSERT_EQ(200, status_of(answer_to(get("a1", "/o/"))));
 	const struct warm_pair pair = {
-		backend_table_find(edge->backends, "i-1")->life,
+		backend_table_find(edge->backends, "i-1")->incarnation,
 		hash_text("7"),
 	};
 	EXPECT_TRUE(warmth_has(&edge->warmth, pair));
@@ -416,7 +418,7 @@
 		       2000;
 	});
 	EXPECT_NE(pair.backend,
-		  backend_table_find(edge->backends, "i-1")->life);
+		  backend_table_find(edge->backends, "i-1")->incarnation);
 	EXPECT_EQ(200, status_of(answer_to(get("a2", "/o/"))));
 	EXPECT_EQ(1u, app_stand_runs(again.stand, "a2"));
 	/* A late entry of the life before changes nothing. */
