--- a/experiment/nodes.c
+++ b/experiment/nodes.c
@@ -132,7 +132,7 @@
 	request->query.patience_us = left_us;
 	request->retry.idempotent = plan->idempotent;
 	request->retry.max_attempts = plan->max_attempts;
-	extra_budget_first(&node->budget, &fleet->extra, fleet->now_us);
+	extra_budget_record_first(&node->budget, &fleet->extra, fleet->now_us);
 	dispatch(fleet, request);
 }
 
--- a/packages/core/admission.c
+++ b/packages/core/admission.c
@@ -7,11 +7,11 @@
  * wait a third of it at most. They are late already, so that what counts for
  * them is room, and there is most of it when the burst has passed.
  */
-#define RETRY_PART_LEAST 0.3
-#define RETRY_PART_MOST 0.33
+#define MIN_RETRY_FRACTION 0.3
+#define MAX_RETRY_FRACTION 0.33
 
 /* For callers that don't say how long they wait: some service times. */
-#define RETRY_DEFAULT_US (400 * US_PER_MS)
+#define DEFAULT_RETRY_US (400 * US_PER_MS)
 
 enum admission_verdict admission_decide(const struct admission_request *request)
 {
@@ -21,25 +21,26 @@
 		return ADMISSION_TOO_LATE;
 	if (request->wait_us > 0 && total_us > (double)request->target_us)
 		return ADMISSION_QUEUE_LATE;
-	return ADMISSION_TAKE;
+	return ADMISSION_ACCEPT;
 }
 
-uint64_t admission_retry_after_us(uint64_t patience_us, double spread)
+uint64_t admission_retry_after_us(uint64_t patience_us, double jitter)
 {
-	double part = RETRY_PART_LEAST +
-		      spread * (RETRY_PART_MOST - RETRY_PART_LEAST);
+	double fraction = MIN_RETRY_FRACTION +
+			  jitter * (MAX_RETRY_FRACTION - MIN_RETRY_FRACTION);
 
 	if (!patience_us)
-		return RETRY_DEFAULT_US;
-	return (uint64_t)(part * (double)patience_us);
+		return DEFAULT_RETRY_US;
+	return (uint64_t)(fraction * (double)patience_us);
 }
 
-uint64_t admission_return_us(struct admission_returns *returns, double per_s,
-			     uint64_t patience_us, double spread,
-			     uint64_t now_us)
+uint64_t admission_schedule_retry_us(struct admission_retry_schedule *schedule,
+				     double per_s, uint64_t patience_us,
+				     double jitter, uint64_t now_us)
 {
-	uint64_t latest_us = admission_retry_after_us(patience_us, spread);
-	uint64_t at_us = returns->next_us > now_us ? returns->next_us : now_us;
+	uint64_t latest_us = admission_retry_after_us(patience_us, jitter);
+	uint64_t at_us = schedule->next_us > now_us ? schedule->next_us :
+						      now_us;
 	double gap_us = (double)US_PER_S / per_s;
 
 	if (!(per_s > 0) || gap_us > (double)latest_us)
@@ -47,6 +48,6 @@
 	at_us += (uint64_t)gap_us;
 	if (at_us > now_us + latest_us)
 		return latest_us;
-	returns->next_us = at_us;
+	schedule->next_us = at_us;
 	return at_us - now_us;
 }
--- a/packages/core/admission.h
+++ b/packages/core/admission.h
@@ -29,7 +29,7 @@
 };
 
 enum admission_verdict {
-	ADMISSION_TAKE,
+	ADMISSION_ACCEPT,
 	ADMISSION_QUEUE_LATE, /* would wait for a slot, and be late anyway */
 	ADMISSION_TOO_LATE, /* its answer would miss its deadline */
 };
@@ -42,10 +42,10 @@
  * now (0: it didn't say). spread is from 0 to 1, drawn anew for each, so that
  * those who were refused together don't come back together.
  */
-uint64_t admission_retry_after_us(uint64_t patience_us, double spread);
+uint64_t admission_retry_after_us(uint64_t patience_us, double jitter);
 
 /* Callers that were refused for want of a rate, and when they return. */
-struct admission_returns {
+struct admission_retry_schedule {
 	uint64_t next_us; /* the latest one's time */
 };
 
@@ -54,9 +54,9 @@
  * as that allows. Where the rate is spoken for beyond its time it comes back as
  * late as it will wait for.
  */
-uint64_t admission_return_us(struct admission_returns *returns, double per_s,
-			     uint64_t patience_us, double spread,
-			     uint64_t now_us);
+uint64_t admission_schedule_retry_us(struct admission_retry_schedule *schedule,
+				     double per_s, uint64_t patience_us,
+				     double jitter, uint64_t now_us);
 
 #ifdef __cplusplus
 }
--- a/packages/core/budget.c
+++ b/packages/core/budget.c
@@ -5,7 +5,7 @@
 void budget_init(struct budget *budget, uint32_t share_permille, uint32_t burst)
 {
 	budget->share_permille = share_permille;
-	budget->most_milli = burst * MILLI_PER_ATTEMPT;
+	budget->max_milli = burst * MILLI_PER_ATTEMPT;
 	budget->balance_milli = 0;
 }
 
@@ -14,8 +14,8 @@
 	uint64_t balance_milli = budget->balance_milli;
 
 	balance_milli += budget->share_permille;
-	if (balance_milli > budget->most_milli)
-		balance_milli = budget->most_milli;
+	if (balance_milli > budget->max_milli)
+		balance_milli = budget->max_milli;
 	budget->balance_milli = (uint32_t)balance_milli;
 }
 
--- a/packages/core/budget.h
+++ b/packages/core/budget.h
@@ -16,7 +16,7 @@
 
 struct budget {
 	uint32_t share_permille; /* extra attempts per thousand requests */
-	uint32_t most_milli; /* balance at most; in thousandths of an attempt */
+	uint32_t max_milli; /* balance at most; in thousandths of an attempt */
 	uint32_t balance_milli;
 };
 
--- a/packages/core/choose.c
+++ b/packages/core/choose.c
@@ -249,7 +249,7 @@
 
 	if (chooser->off & CHOOSE_ADMIT)
 		return verdict != ADMISSION_TOO_LATE;
-	return verdict == ADMISSION_TAKE;
+	return verdict == ADMISSION_ACCEPT;
 }
 
 /* What servers that would be used but for their rates take a second. */
@@ -266,19 +266,19 @@
 
 		if (candidate_blocked(chooser, query, backend, now_us) ==
 		    CHOOSE_LIMITED)
-			per_s += rate_limit_in_force(&backend->limit, now_us);
+			per_s += rate_limit_effective(&backend->limit, now_us);
 	}
 	return per_s;
 }
 
-static struct admission_returns *returns_of(struct chooser *chooser,
-					    const char *service)
+static struct admission_retry_schedule *returns_of(struct chooser *chooser,
+						   const char *service)
 {
-	struct admission_returns *returns =
+	struct admission_retry_schedule *returns =
 		g_hash_table_lookup(chooser->returns, service);
 
 	if (!returns) {
-		returns = g_new0(struct admission_returns, 1);
+		returns = g_new0(struct admission_retry_schedule, 1);
 		g_hash_table_insert(chooser->returns, g_strdup(service),
 				    returns);
 	}
@@ -292,9 +292,10 @@
 {
 	uint32_t nodes = member_table_count(chooser->members);
 
-	return admission_return_us(returns_of(chooser, query->service->name),
-				   per_s / MAX(nodes, 1), query->patience_us,
-				   g_random_double(), now_us);
+	return admission_schedule_retry_us(
+		returns_of(chooser, query->service->name),
+		per_s / MAX(nodes, 1), query->patience_us, g_random_double(),
+		now_us);
 }
 
 static void refuse(struct chooser *chooser, const struct choose_query *query,
--- a/packages/core/choose.h
+++ b/packages/core/choose.h
@@ -51,7 +51,7 @@
 	const char *region;
 	GHashTable *links; /* region -> struct link_time */
 	GHashTable *flows; /* service -> struct region_flow */
-	GHashTable *returns; /* service -> struct admission_returns */
+	GHashTable *returns; /* service -> struct admission_retry_schedule */
 	double trial_credit; /* requests that may warm another server */
 	uint32_t off; /* of enum choose_mechanism; 0 but in experiments */
 };
--- a/packages/core/extra_budget.c
+++ b/packages/core/extra_budget.c
@@ -6,21 +6,21 @@
  * Part of the bound that is used, as a guard against requests that were counted
  * here in one window and arrive at the backend server in the next.
  */
-#define USED_PART 0.7
+#define USED_FRACTION 0.7
 
-#define SLOTS (EXTRA_BUDGET_SLICES + 1)
+#define STORED_SLICES (EXTRA_BUDGET_SLICES + 1)
 
 static void advance(struct extra_budget *budget,
 		    const struct extra_budget_rule *rule, uint64_t now_us)
 {
 	uint64_t slice = now_us / (rule->window_us / EXTRA_BUDGET_SLICES);
 
-	if (slice > budget->slice + SLOTS)
-		budget->slice = slice - SLOTS;
+	if (slice > budget->slice + STORED_SLICES)
+		budget->slice = slice - STORED_SLICES;
 	while (budget->slice < slice) {
 		budget->slice++;
-		budget->first[budget->slice % SLOTS] = 0;
-		budget->extra[budget->slice % SLOTS] = 0;
+		budget->first[budget->slice % STORED_SLICES] = 0;
+		budget->extra[budget->slice % STORED_SLICES] = 0;
 	}
 }
 
@@ -29,30 +29,31 @@
 	uint32_t total = 0;
 	uint32_t i;
 
-	for (i = 0; i < SLOTS; i++)
+	for (i = 0; i < STORED_SLICES; i++)
 		total += slots[i];
 	return total;
 }
 
-void extra_budget_first(struct extra_budget *budget,
-			const struct extra_budget_rule *rule, uint64_t now_us)
+void extra_budget_record_first(struct extra_budget *budget,
+			       const struct extra_budget_rule *rule,
+			       uint64_t now_us)
 {
 	advance(budget, rule, now_us);
-	budget->first[budget->slice % SLOTS]++;
+	budget->first[budget->slice % STORED_SLICES]++;
 }
 
 bool extra_budget_take(struct extra_budget *budget,
 		       const struct extra_budget_rule *rule, uint32_t nodes,
 		       uint64_t now_us)
 {
-	double most;
+	double limit;
 
 	advance(budget, rule, now_us);
-	most = USED_PART * (rule->ratio * sum(budget->first) +
-			    rule->allowance / (nodes ? nodes : 1));
-	if (sum(budget->extra) + 1 > most)
+	limit = USED_FRACTION * (rule->ratio * sum(budget->first) +
+				 rule->allowance / (nodes ? nodes : 1));
+	if (sum(budget->extra) + 1 > limit)
 		return false;
-	budget->extra[budget->slice % SLOTS]++;
+	budget->extra[budget->slice % STORED_SLICES]++;
 	return true;
 }
 
--- a/packages/core/extra_budget.h
+++ b/packages/core/extra_budget.h
@@ -33,8 +33,9 @@
 };
 
 /* Account the first send of a request. */
-void extra_budget_first(struct extra_budget *budget,
-			const struct extra_budget_rule *rule, uint64_t now_us);
+void extra_budget_record_first(struct extra_budget *budget,
+			       const struct extra_budget_rule *rule,
+			       uint64_t now_us);
 
 /*
  * Take one extra request; false where the window has no more. nodes is how many
--- a/packages/core/fingerprint.c
+++ b/packages/core/fingerprint.c
@@ -6,23 +6,23 @@
 #include <xxhash.h>
 
 /* With its NUL, so that parts can't be shifted into each other. */
-static void add_text(XXH3_state_t *state, const char *text)
+static void hash_text_field(XXH3_state_t *state, const char *text)
 {
 	XXH3_64bits_update(state, text ? text : "",
 			   text ? strlen(text) + 1 : 1);
 }
 
-uint64_t fingerprint_of(const struct fingerprint_parts *parts)
+uint64_t fingerprint_of(const struct fingerprint_input *parts)
 {
 	XXH3_state_t state;
 	uint64_t hash;
 
 	XXH3_INITSTATE(&state);
 	XXH3_64bits_reset(&state);
-	add_text(&state, parts->method);
-	add_text(&state, parts->host);
-	add_text(&state, parts->target);
-	add_text(&state, parts->caller);
+	hash_text_field(&state, parts->method);
+	hash_text_field(&state, parts->host);
+	hash_text_field(&state, parts->target);
+	hash_text_field(&state, parts->caller);
 	XXH3_64bits_update(&state, parts->body, parts->body_bytes);
 	hash = XXH3_64bits_digest(&state);
 	return hash ? hash : 1;
--- a/packages/core/fingerprint.h
+++ b/packages/core/fingerprint.h
@@ -16,7 +16,7 @@
 extern "C" {
 #endif
 
-struct fingerprint_parts {
+struct fingerprint_input {
 	const char *method;
 	const char *host;
 	const char *target; /* path and query, as the caller wrote them */
@@ -27,7 +27,7 @@
 };
 
 /* Never 0, so that 0 may stand for none. */
-uint64_t fingerprint_of(const struct fingerprint_parts *parts);
+uint64_t fingerprint_of(const struct fingerprint_input *parts);
 
 #ifdef __cplusplus
 }
--- a/packages/core/rate_limit.c
+++ b/packages/core/rate_limit.c
@@ -8,24 +8,24 @@
 #include "core/duration.h"
 
 /* Longest text of a rate: the largest one with six places. */
-#define TEXT_MOST 16
+#define MAX_TEXT_LENGTH 16
 
 /* A word that is older is of no server that is still limited so. */
-#define WORD_AGE_MOST_US (600 * US_PER_S)
+#define MAX_UPDATE_AGE_US (600 * US_PER_S)
 
 /*
  * What a sender's part is at least, unless there are too few senders for one
  * of them to be lost: smaller parts add up to a larger burst.
  */
-#define SENDER_PER_S 2.0
-#define SENDERS_LEAST 2
+#define MIN_QUOTA_PER_S 2.0
+#define MIN_HOLDERS 2
 
 /*
  * What a part may save up: one request, and its share of these or so much time
  * of its rate where that is more. Nodes of other regions come for it once in a
  * round trip.
  */
-#define SHARED_BURST 2.0
+#define TOTAL_BURST 2.0
 #define BURST_US (150 * US_PER_MS)
 
 /*
@@ -33,68 +33,68 @@
  * and an answer is waited for as long before another sender is asked: a few
  * round trips within a region, on nodes that are busy.
  */
-#define BORROW_US (300 * US_PER_MS)
-#define ANSWER_WAIT_US (100 * US_PER_MS)
+#define LOAN_TTL_US (300 * US_PER_MS)
+#define ANSWER_TIMEOUT_US (100 * US_PER_MS)
 
 /* Tokens that are asked for at one time. */
-#define BORROW_MOST 64
+#define MAX_LOAN 64
 
 /* Longest time that a sender says to wait: its part may change. */
-#define ASK_AGAIN_MOST_US (500 * US_PER_MS)
+#define MAX_RETRY_DELAY_US (500 * US_PER_MS)
 
 /*
  * Once a server names no rate any more, what it gets doubles in each such time
  * from the last rate on, and is unbounded after the whole.
  */
-#define REFILL_DOUBLING_US (250 * US_PER_MS)
-#define REFILL_US (2 * US_PER_S)
+#define RAMP_DOUBLING_US (250 * US_PER_MS)
+#define RAMP_US (2 * US_PER_S)
 
 /*
  * A higher rate isn't believed for so long after a lower one was named: each
  * change of one that flaps would be told to all nodes.
  */
-#define RAISE_WAIT_US (300 * US_PER_MS)
+#define RAISE_DELAY_US (300 * US_PER_MS)
 
 bool rate_limit_parse(const char *text, double *per_s)
 {
 	size_t length = strlen(text);
 	double value;
 
-	if (!length || length > TEXT_MOST ||
+	if (!length || length > MAX_TEXT_LENGTH ||
 	    strspn(text, "0123456789.") != length ||
 	    strchr(text, '.') != strrchr(text, '.') ||
 	    !g_ascii_isdigit(text[length - 1]))
 		return false;
 	value = g_ascii_strtod(text, NULL);
-	if (value < RATE_LIMIT_LEAST_PER_S || value > RATE_LIMIT_MOST_PER_S)
+	if (value < RATE_LIMIT_MIN_PER_S || value > RATE_LIMIT_MAX_PER_S)
 		return false;
 	*per_s = value;
 	return true;
 }
 
-bool rate_limit_is_sane(const struct rate_word *word)
+bool rate_limit_update_is_valid(const struct rate_update *update)
 {
-	if (word->age_us > WORD_AGE_MOST_US || !isfinite(word->per_s))
+	if (update->age_us > MAX_UPDATE_AGE_US || !isfinite(update->per_s))
 		return false;
-	return word->per_s == 0 || (word->per_s >= RATE_LIMIT_LEAST_PER_S &&
-				    word->per_s <= RATE_LIMIT_MOST_PER_S);
+	return update->per_s == 0 || (update->per_s >= RATE_LIMIT_MIN_PER_S &&
+				      update->per_s <= RATE_LIMIT_MAX_PER_S);
 }
 
-double rate_limit_in_force(const struct rate_limit *limit, uint64_t now_us)
+double rate_limit_effective(const struct rate_limit *limit, uint64_t now_us)
 {
-	uint64_t since_us = now_us - MIN(now_us, limit->named_us);
+	uint64_t since_us = now_us - MIN(now_us, limit->learned_us);
 
 	if (limit->per_s > 0)
 		return limit->per_s;
-	if (!limit->last_per_s || since_us >= REFILL_US)
+	if (!limit->previous_per_s || since_us >= RAMP_US)
 		return 0;
-	return limit->last_per_s *
-	       exp2((double)since_us / (double)REFILL_DOUBLING_US);
+	return limit->previous_per_s *
+	       exp2((double)since_us / (double)RAMP_DOUBLING_US);
 }
 
 bool rate_limit_is_limited(const struct rate_limit *limit, uint64_t now_us)
 {
-	return rate_limit_in_force(limit, now_us) > 0;
+	return rate_limit_effective(limit, now_us) > 0;
 }
 
 static bool is_stricter(double per_s, double known_per_s)
@@ -103,9 +103,9 @@
 }
 
 /* Whether a higher rate that was learned then follows a lower one too soon. */
-static bool is_early(const struct rate_limit *limit, uint64_t at_us)
+static bool is_too_early(const struct rate_limit *limit, uint64_t at_us)
 {
-	return limit->per_s > 0 && at_us - limit->named_us < RAISE_WAIT_US;
+	return limit->per_s > 0 && at_us - limit->learned_us < RAISE_DELAY_US;
 }
 
 static void set_rate(struct rate_limit *limit, double per_s, uint64_t at_us,
@@ -118,50 +118,50 @@
 		limit->filled_us = now_us;
 	}
 	if (per_s == 0)
-		limit->last_per_s = limit->per_s;
+		limit->previous_per_s = limit->per_s;
 	limit->per_s = per_s;
-	limit->named_us = at_us;
+	limit->learned_us = at_us;
 }
 
-bool rate_limit_heard(struct rate_limit *limit, double per_s, uint64_t sent_us,
-		      uint64_t now_us)
+bool rate_limit_apply_answer(struct rate_limit *limit, double per_s,
+			     uint64_t sent_us, uint64_t now_us)
 {
 	if (per_s == limit->per_s) {
 		if (per_s > 0)
-			limit->named_us = now_us;
+			limit->learned_us = now_us;
 		return false;
 	}
 	if (!is_stricter(per_s, limit->per_s) &&
-	    (sent_us < limit->named_us || is_early(limit, now_us)))
+	    (sent_us < limit->learned_us || is_too_early(limit, now_us)))
 		return false;
 	set_rate(limit, per_s, now_us, now_us);
 	return true;
 }
 
-bool rate_limit_told(struct rate_limit *limit, double per_s, uint64_t at_us,
-		     uint64_t now_us)
+bool rate_limit_apply_update(struct rate_limit *limit, double per_s,
+			     uint64_t at_us, uint64_t now_us)
 {
-	if (per_s == limit->per_s || at_us <= limit->named_us)
+	if (per_s == limit->per_s || at_us <= limit->learned_us)
 		return false;
-	if (!is_stricter(per_s, limit->per_s) && is_early(limit, at_us))
+	if (!is_stricter(per_s, limit->per_s) && is_too_early(limit, at_us))
 		return false;
 	set_rate(limit, per_s, at_us, now_us);
 	return true;
 }
 
 /* How many of so many nodes send to a server that names this rate. */
-static uint32_t count_senders(double per_s, uint32_t nodes)
+static uint32_t count_holders(double per_s, uint32_t nodes)
 {
-	uint32_t senders = (uint32_t)fmin(ceil(per_s / SENDER_PER_S), nodes);
+	uint32_t holders = (uint32_t)fmin(ceil(per_s / MIN_QUOTA_PER_S), nodes);
 
-	return MIN(MAX(senders, SENDERS_LEAST), MAX(nodes, 1));
+	return MIN(MAX(holders, MIN_HOLDERS), MAX(nodes, 1));
 }
 
-double rate_limit_part(const struct member_table *members, const char *region,
-		       uint32_t hash, double per_s)
+double rate_limit_quota(const struct member_table *members, const char *region,
+			uint32_t hash, double per_s)
 {
 	uint32_t nodes = member_table_region_count(members, region);
-	uint32_t senders;
+	uint32_t holders;
 	uint32_t rank;
 
 	if (nodes) {
@@ -170,30 +170,30 @@
 		nodes = member_table_count(members);
 		rank = member_table_rank(members, hash);
 	}
-	senders = count_senders(per_s, nodes);
-	return rank < senders ? per_s / senders : 0;
+	holders = count_holders(per_s, nodes);
+	return rank < holders ? per_s / holders : 0;
 }
 
-const struct member *rate_limit_sender(const struct rate_limit *limit,
-				       const struct member_table *members,
-				       const char *region, uint32_t hash,
-				       double spread, uint64_t now_us)
+const struct member *rate_limit_pick_holder(const struct rate_limit *limit,
+					    const struct member_table *members,
+					    const char *region, uint32_t hash,
+					    double draw, uint64_t now_us)
 {
 	uint32_t nodes = member_table_region_count(members, region);
-	double per_s = rate_limit_in_force(limit, now_us);
+	double per_s = rate_limit_effective(limit, now_us);
 
 	return member_table_region_draw(members, region, hash,
-					count_senders(per_s, nodes),
-					limit->refused_by, spread, now_us);
+					count_holders(per_s, nodes),
+					limit->refused_by, draw, now_us);
 }
 
 static double burst(const struct rate_limit *limit, uint64_t now_us)
 {
-	double per_s = rate_limit_in_force(limit, now_us);
+	double per_s = rate_limit_effective(limit, now_us);
 	double share = per_s > 0 ? limit->part_per_s / per_s : 0;
 	double burst_s = (double)BURST_US / (double)US_PER_S;
 
-	return 1.0 + fmax(SHARED_BURST * share, limit->part_per_s * burst_s);
+	return 1.0 + fmax(TOTAL_BURST * share, limit->part_per_s * burst_s);
 }
 
 double rate_limit_tokens(const struct rate_limit *limit, uint64_t now_us)
@@ -204,39 +204,39 @@
 		    limit->tokens + since_s * limit->part_per_s);
 }
 
-static void fill(struct rate_limit *limit, uint64_t now_us)
+static void refill(struct rate_limit *limit, uint64_t now_us)
 {
 	limit->tokens = rate_limit_tokens(limit, now_us);
 	limit->filled_us = now_us;
 }
 
-void rate_limit_share(struct rate_limit *limit, double part_per_s,
-		      uint64_t now_us)
+void rate_limit_set_quota(struct rate_limit *limit, double part_per_s,
+			  uint64_t now_us)
 {
-	fill(limit, now_us);
+	refill(limit, now_us);
 	limit->part_per_s = part_per_s;
 }
 
-static bool has_borrowed(const struct rate_limit *limit, uint64_t now_us)
+static bool has_loan(const struct rate_limit *limit, uint64_t now_us)
 {
 	return limit->borrowed && now_us < limit->borrowed_until_us;
 }
 
-bool rate_limit_may_ask(const struct rate_limit *limit, uint64_t now_us)
+bool rate_limit_may_borrow(const struct rate_limit *limit, uint64_t now_us)
 {
 	if (limit->asked_count &&
-	    now_us - limit->asked_us < ANSWER_WAIT_US + limit->way_us)
+	    now_us - limit->asked_us < ANSWER_TIMEOUT_US + limit->way_us)
 		return false;
 	return rate_limit_is_limited(limit, now_us) &&
 	       now_us >= limit->ask_again_us;
 }
 
-uint32_t rate_limit_begin_asking(struct rate_limit *limit, uint64_t way_us,
-				 uint64_t now_us)
+uint32_t rate_limit_begin_borrowing(struct rate_limit *limit, uint64_t way_us,
+				    uint64_t now_us)
 {
-	uint32_t tokens = MIN(limit->missed + 1, BORROW_MOST);
+	uint32_t tokens = MIN(limit->missed + 1, MAX_LOAN);
 
-	if (!has_borrowed(limit, now_us))
+	if (!has_loan(limit, now_us))
 		limit->borrowed = 0;
 	limit->asked_count = 0;
 	limit->asked_us = now_us;
@@ -245,51 +245,51 @@
 	return tokens;
 }
 
-bool rate_limit_ask(struct rate_limit *limit, uint32_t sender)
+bool rate_limit_mark_asked(struct rate_limit *limit, uint32_t holder)
 {
 	uint32_t i;
 
-	if (limit->asked_count == RATE_LIMIT_ASKS_MOST)
+	if (limit->asked_count == RATE_LIMIT_MAX_ASKED)
 		return false;
 	for (i = 0; i < limit->asked_count; i++)
-		if (limit->asked[i] == sender)
+		if (limit->asked[i] == holder)
 			return false;
-	limit->asked[limit->asked_count++] = sender;
+	limit->asked[limit->asked_count++] = holder;
 	return true;
 }
 
-void rate_limit_miss(struct rate_limit *limit)
+void rate_limit_count_miss(struct rate_limit *limit)
 {
 	limit->missed++;
 }
 
-uint32_t rate_limit_lend(struct rate_limit *limit, uint32_t most,
+uint32_t rate_limit_lend(struct rate_limit *limit, uint32_t max_tokens,
 			 uint64_t now_us, uint64_t *wait_us)
 {
 	uint32_t lent;
 
 	*wait_us = 0;
-	fill(limit, now_us);
+	refill(limit, now_us);
 	if (rate_limit_is_limited(limit, now_us) && limit->tokens >= 1) {
-		lent = (uint32_t)fmin(limit->tokens, MIN(most, BORROW_MOST));
+		lent = (uint32_t)fmin(limit->tokens, MIN(max_tokens, MAX_LOAN));
 		limit->tokens -= lent;
 		return lent;
 	}
-	*wait_us = ASK_AGAIN_MOST_US;
+	*wait_us = MAX_RETRY_DELAY_US;
 	if (limit->part_per_s > 0)
 		*wait_us = (uint64_t)fmin((1 - limit->tokens) /
 						  limit->part_per_s * US_PER_S,
-					  ASK_AGAIN_MOST_US);
+					  MAX_RETRY_DELAY_US);
 	return 0;
 }
 
 /* Whether an answer of the sender was due, which it isn't any more. */
-static bool take_answer(struct rate_limit *limit, uint32_t sender)
+static bool remove_asked(struct rate_limit *limit, uint32_t holder)
 {
 	uint32_t i;
 
 	for (i = 0; i < limit->asked_count; i++)
-		if (limit->asked[i] == sender)
+		if (limit->asked[i] == holder)
 			break;
 	if (i == limit->asked_count)
 		return false;
@@ -297,29 +297,28 @@
 	return true;
 }
 
-void rate_limit_answered(struct rate_limit *limit, uint32_t sender,
-			 uint32_t lent, uint64_t wait_us, uint64_t now_us)
+void rate_limit_apply_loan(struct rate_limit *limit, uint32_t holder,
+			   uint32_t lent, uint64_t wait_us, uint64_t now_us)
 {
-	if (!take_answer(limit, sender))
+	if (!remove_asked(limit, holder))
 		return;
 	if (lent) {
 		limit->refused_by = 0;
-		limit->borrowed += MIN(lent, BORROW_MOST);
+		limit->borrowed += MIN(lent, MAX_LOAN);
 		limit->borrowed_until_us =
-			limit->asked_us + limit->way_us + BORROW_US;
+			limit->asked_us + limit->way_us + LOAN_TTL_US;
 	} else if (!limit->refused_by) {
-		limit->refused_by = sender;
+		limit->refused_by = holder;
 	} else if (!limit->asked_count && !limit->borrowed) {
 		limit->refused_by = 0;
-		limit->ask_again_us = now_us + MIN(wait_us, ASK_AGAIN_MOST_US);
+		limit->ask_again_us = now_us + MIN(wait_us, MAX_RETRY_DELAY_US);
 	}
 }
 
 bool rate_limit_allows(const struct rate_limit *limit, uint64_t now_us)
 {
 	return !rate_limit_is_limited(limit, now_us) ||
-	       has_borrowed(limit, now_us) ||
-	       rate_limit_tokens(limit, now_us) >= 1;
+	       has_loan(limit, now_us) || rate_limit_tokens(limit, now_us) >= 1;
 }
 
 bool rate_limit_take(struct rate_limit *limit, uint64_t now_us)
@@ -327,11 +326,11 @@
 	if (!rate_limit_is_limited(limit, now_us))
 		return false;
 	limit->sent++;
-	if (has_borrowed(limit, now_us)) {
+	if (has_loan(limit, now_us)) {
 		limit->borrowed--;
 		return true;
 	}
-	fill(limit, now_us);
+	refill(limit, now_us);
 	limit->tokens -= 1;
 	return true;
 }
@@ -340,7 +339,7 @@
 {
 	limit->sent--;
 	if (limit->part_per_s > 0) {
-		fill(limit, now_us);
+		refill(limit, now_us);
 		limit->tokens += 1;
 	} else if (now_us < limit->borrowed_until_us) {
 		limit->borrowed++;
--- a/packages/core/region_flow.c
+++ b/packages/core/region_flow.c
@@ -7,7 +7,7 @@
 #include "core/hash.h"
 
 /* Weight of one choice in the smoothed wish: about the last 30 choices. */
-#define WISH_WEIGHT 0.03
+#define WANTED_WEIGHT 0.03
 
 /*
  * Most that the share moves a second. Two windows of 2 s next to each other
@@ -26,25 +26,26 @@
  * jump of more is spread over seconds. The most lies above that by more than
  * one request, or a share near 1 would lose what it is owed.
  */
-#define CREDIT_LEAST (-6.0)
+#define CREDIT_MIN (-6.0)
 #define CREDIT_DUE 6.0
-#define CREDIT_MOST 8.0
+#define CREDIT_MAX 8.0
 
 /* The same for requests without an object. */
-#define PLAIN_CREDIT_DUE 1.5
+#define CREDIT_DUE_WITHOUT_OBJECT 1.5
 
 /*
  * Hashed with an object for its place among those that leave, which then has
  * nothing to do with the order of the servers for it.
  */
-#define LEAVING_ORDER 0x1eaf1eafu
+#define LEAVING_ORDER_SEED 0x1eaf1eafu
 
 /* A stretch without requests allows one step of this length at most. */
-#define STEP_MOST_US US_PER_S
+#define MAX_STEP_US US_PER_S
 
-static double stepped(double from, double to, double most)
+static double step_towards(double from, double to, double max_step)
 {
-	return to > from ? fmin(to, from + most) : fmax(to, from - most);
+	return to > from ? fmin(to, from + max_step) :
+			   fmax(to, from - max_step);
 }
 
 static void move_shares(struct region_flow *flow, uint64_t now_us)
@@ -52,13 +53,13 @@
 	uint64_t passed_us = now_us - flow->moved_us;
 	double step;
 
-	if (passed_us > STEP_MOST_US)
-		passed_us = STEP_MOST_US;
+	if (passed_us > MAX_STEP_US)
+		passed_us = MAX_STEP_US;
 	step = STEP_PER_S * (double)passed_us / (double)US_PER_S;
 	flow->moved_us = now_us;
-	flow->share = stepped(flow->share, flow->wanted, step);
+	flow->share = step_towards(flow->share, flow->wanted, step);
 	flow->granted =
-		stepped(flow->granted, flow->share + flow->excess, step);
+		step_towards(flow->granted, flow->share + flow->excess, step);
 }
 
 void region_flow_init(struct region_flow *flow, double share)
@@ -71,7 +72,7 @@
 
 static bool belongs_elsewhere(const struct region_flow *flow, uint32_t object)
 {
-	double place = (double)hash_pair(object, LEAVING_ORDER) /
+	double place = (double)hash_pair(object, LEAVING_ORDER_SEED) /
 		       18446744073709551616.0;
 
 	return place < flow->share;
@@ -82,19 +83,19 @@
 			    bool elsewhere)
 {
 	if (request->has_object)
-		return elsewhere ? CREDIT_LEAST + 1.0 : CREDIT_DUE;
-	return elsewhere ? 0 : PLAIN_CREDIT_DUE;
+		return elsewhere ? CREDIT_MIN + 1.0 : CREDIT_DUE;
+	return elsewhere ? 0 : CREDIT_DUE_WITHOUT_OBJECT;
 }
 
 bool region_flow_leave(struct region_flow *flow,
 		       const struct region_flow_request *request,
 		       uint64_t now_us)
 {
-	double wish = request->prefers_to_leave ? 1.0 : 0.0;
+	double leave_wanted = request->prefers_to_leave ? 1.0 : 0.0;
 	bool elsewhere;
 	bool leave;
 
-	flow->wanted += WISH_WEIGHT * (wish - flow->wanted);
+	flow->wanted += WANTED_WEIGHT * (leave_wanted - flow->wanted);
 	if (request->free) {
 		flow->share = flow->wanted;
 		flow->granted = flow->wanted;
@@ -109,10 +110,10 @@
 	if (request->has_object)
 		flow->excess += EXCESS_WEIGHT * ((elsewhere ? 1.0 : 0.0) -
 						 flow->share - flow->excess);
-	flow->credit = fmin(CREDIT_MOST, flow->credit + flow->granted);
+	flow->credit = fmin(CREDIT_MAX, flow->credit + flow->granted);
 	leave = flow->credit >= credit_needed(request, elsewhere);
 	if (leave)
-		flow->credit = fmax(CREDIT_LEAST, flow->credit - 1.0);
+		flow->credit = fmax(CREDIT_MIN, flow->credit - 1.0);
 	return leave;
 }
 
--- a/packages/core/share.c
+++ b/packages/core/share.c
@@ -4,7 +4,7 @@
 
 /* One backend server's slots for this node. */
 struct share {
-	uint32_t now; /* may be used */
+	uint32_t usable; /* may be used */
 	uint32_t target; /* once the version is settled */
 };
 
@@ -41,12 +41,13 @@
 	struct share *share = g_new0(struct share, 1);
 
 	share->target = target->slots;
-	share->now = known ? MIN(known->now, target->slots) : 0;
+	share->usable = known ? MIN(known->usable, target->slots) : 0;
 	g_hash_table_insert(next, g_strdup(target->backend), share);
 }
 
-void share_table_change(struct share_table *table, uint64_t version,
-			const struct share_target *targets, uint32_t count)
+void share_table_apply_version(struct share_table *table, uint64_t version,
+			       const struct share_target *targets,
+			       uint32_t count)
 {
 	GHashTable *next;
 	uint32_t i;
@@ -73,7 +74,7 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct share *share = value;
 
-		share->now = share->target;
+		share->usable = share->target;
 	}
 	table->settled = true;
 }
@@ -82,7 +83,7 @@
 {
 	const struct share *share = g_hash_table_lookup(table->shares, backend);
 
-	return share ? share->now : 0;
+	return share ? share->usable : 0;
 }
 
 bool share_table_is_settled(const struct share_table *table)
--- a/packages/core/share.h
+++ b/packages/core/share.h
@@ -32,8 +32,9 @@
 void share_table_free(struct share_table *table);
 
 /* A version came: shares that shrink do, those that grow wait. */
-void share_table_change(struct share_table *table, uint64_t version,
-			const struct share_target *targets, uint32_t count);
+void share_table_apply_version(struct share_table *table, uint64_t version,
+			       const struct share_target *targets,
+			       uint32_t count);
 
 /* All other nodes have declared the version: take the shares whole. */
 void share_table_settle(struct share_table *table, uint64_t version);
--- a/packages/core/suspect_evidence.c
+++ b/packages/core/suspect_evidence.c
@@ -1,4 +1,4 @@
-#include "core/suspect_parts.h"
+#include "core/suspect_internal.h"
 
 #include <string.h>
 
@@ -9,7 +9,7 @@
  * domain's loss of power. A word of another region is under way for about as
  * long.
  */
-#define TOGETHER_US (60 * US_PER_MS)
+#define SIMULTANEOUS_US (60 * US_PER_MS)
 
 /* --- crashes ------------------------------------------------------------ */
 
@@ -29,8 +29,8 @@
 }
 
 /* The platform's list forgets a server soon after its end. */
-static void note_domain(const struct backend_table *backends,
-			struct suspect_crash *crash)
+static void set_domain(const struct backend_table *backends,
+		       struct suspect_crash *crash)
 {
 	const struct backend *backend =
 		backend_table_find_life(backends, crash->life);
@@ -40,17 +40,19 @@
 }
 
 /* The remembered moment that it belongs to, or NULL. */
-static struct suspect_domain_end *
-find_domain_end(struct suspect_table *table, const struct suspect_crash *crash)
+static struct suspect_domain_outage *
+find_domain_outage(struct suspect_table *table,
+		   const struct suspect_crash *crash)
 {
 	uint32_t i;
 
-	for (i = 0; crash->domain && i < SUSPECT_DOMAIN_ENDS_MOST; i++) {
-		struct suspect_domain_end *end = &table->domain_ends[i];
+	for (i = 0; crash->domain && i < SUSPECT_MAX_DOMAIN_OUTAGES; i++) {
+		struct suspect_domain_outage *outage =
+			&table->domain_outages[i];
 
-		if (end->domain == crash->domain &&
-		    difference(end->at_us, crash->at_us) < TOGETHER_US)
-			return end;
+		if (outage->domain == crash->domain &&
+		    difference(outage->at_us, crash->at_us) < SIMULTANEOUS_US)
+			return outage;
 	}
 	return NULL;
 }
@@ -67,8 +69,8 @@
 	entry->counted = MIN(entry->counted, kept);
 }
 
-static void drop_crashes_of_living(struct suspect *entry,
-				   const struct backend_table *backends)
+static void drop_crashes_of_live_servers(struct suspect *entry,
+					 const struct backend_table *backends)
 {
 	uint32_t kept = 0;
 	uint32_t i;
@@ -83,39 +85,39 @@
  * Whether another server ended under it in the same moment. Each of the two may
  * have come with a word that was under way.
  */
-static bool has_companion(const struct suspect *entry,
-			  const struct suspect_crash *crash)
+static bool has_simultaneous_crash(const struct suspect *entry,
+				   const struct suspect_crash *crash)
 {
 	uint32_t i;
 
 	for (i = 0; i < entry->crash_count; i++)
 		if (entry->crashes[i].life != crash->life &&
 		    difference(entry->crashes[i].at_us, crash->at_us) <
-			    2 * TOGETHER_US)
+			    2 * SIMULTANEOUS_US)
 			return true;
 	return false;
 }
 
 /* One that was at several of a domain's servers may be what ended them. */
-static bool speaks_against(struct suspect_table *table,
-			   const struct suspect *entry,
-			   const struct suspect_crash *crash)
+static bool is_evidence(struct suspect_table *table,
+			const struct suspect *entry,
+			const struct suspect_crash *crash)
 {
-	return !find_domain_end(table, crash) || has_companion(entry, crash);
+	return !find_domain_outage(table, crash) ||
+	       has_simultaneous_crash(entry, crash);
 }
 
-bool suspect_review(struct suspect_table *table, struct suspect *entry,
-		    const struct backend_table *backends)
+bool suspect_recount_crashes(struct suspect_table *table, struct suspect *entry,
+			     const struct backend_table *backends)
 {
 	uint32_t before = entry->counted;
 	uint32_t i;
 
-	drop_crashes_of_living(entry, backends);
+	drop_crashes_of_live_servers(entry, backends);
 	entry->counted = 0;
 	for (i = 0; i < entry->crash_count; i++) {
-		note_domain(backends, &entry->crashes[i]);
-		entry->counted +=
-			speaks_against(table, entry, &entry->crashes[i]);
+		set_domain(backends, &entry->crashes[i]);
+		entry->counted += is_evidence(table, entry, &entry->crashes[i]);
 	}
 	return entry->counted != before;
 }
@@ -129,16 +131,16 @@
 
 void suspect_begin_quarantine(struct suspect *entry, uint64_t now_us)
 {
-	entry->rounds = MIN(entry->rounds + 1, SUSPECT_ROUNDS_MOST);
+	entry->rounds = MIN(entry->rounds + 1, SUSPECT_MAX_ROUNDS);
 	entry->until_us = now_us + suspect_quarantine_us(entry->rounds);
 }
 
-static bool has_enough_crashes(const struct suspect *entry)
+static bool has_quarantine_crashes(const struct suspect *entry)
 {
-	return entry->counted >= SUSPECT_CRASHES;
+	return entry->counted >= SUSPECT_QUARANTINE_CRASHES;
 }
 
-static bool was_at(const struct suspect *entry, uint32_t life)
+static bool has_crash_of(const struct suspect *entry, uint32_t life)
 {
 	uint32_t i;
 
@@ -153,60 +155,62 @@
 	uint32_t i;
 
 	for (i = 0; i < a->crash_count; i++)
-		if (was_at(b, a->crashes[i].life))
+		if (has_crash_of(b, a->crashes[i].life))
 			return true;
 	return false;
 }
 
 /* Another request that may have caused some of its crashes. */
-static bool is_rival(const struct suspect *entry, const struct suspect *other)
+static bool may_explain_crashes(const struct suspect *entry,
+				const struct suspect *other)
 {
-	return other != entry && has_enough_crashes(other) &&
+	return other != entry && has_quarantine_crashes(other) &&
 	       shares_server(entry, other);
 }
 
 static void mark_shared(const struct suspect *entry,
-			const struct suspect *rival, bool *is_shared)
+			const struct suspect *other, bool *is_shared)
 {
 	uint32_t i;
 
 	for (i = 0; i < entry->crash_count; i++)
-		is_shared[i] |= was_at(rival, entry->crashes[i].life);
+		is_shared[i] |= has_crash_of(other, entry->crashes[i].life);
 }
 
 /* Crashes that no rival can have caused. */
-static uint32_t count_own(const struct suspect_table *table,
-			  const struct suspect *entry)
+static uint32_t count_exclusive(const struct suspect_table *table,
+				const struct suspect *entry)
 {
-	bool is_shared[SUSPECT_CRASHES_KEPT] = { false };
-	uint32_t own = 0;
+	bool is_shared[SUSPECT_MAX_CRASHES] = { false };
+	uint32_t exclusive = 0;
 	uint32_t i;
 
-	for (i = 0; i < SUSPECTS_MOST; i++)
-		if (is_rival(entry, &table->entries[i]))
+	for (i = 0; i < SUSPECT_MAX_ENTRIES; i++)
+		if (may_explain_crashes(entry, &table->entries[i]))
 			mark_shared(entry, &table->entries[i], is_shared);
 	for (i = 0; i < entry->crash_count; i++)
-		own += !is_shared[i];
-	return MIN(own, entry->counted);
+		exclusive += !is_shared[i];
+	return MIN(exclusive, entry->counted);
 }
 
 /* The most crashes that a rival has for itself. */
-static uint32_t count_rivals_own(const struct suspect_table *table,
-				 const struct suspect *entry)
+static uint32_t max_others_exclusive(const struct suspect_table *table,
+				     const struct suspect *entry)
 {
-	uint32_t most = 0;
+	uint32_t max = 0;
 	uint32_t i;
 
-	for (i = 0; i < SUSPECTS_MOST; i++)
-		if (is_rival(entry, &table->entries[i]))
-			most = MAX(most, count_own(table, &table->entries[i]));
-	return most;
+	for (i = 0; i < SUSPECT_MAX_ENTRIES; i++)
+		if (may_explain_crashes(entry, &table->entries[i]))
+			max = MAX(max,
+				  count_exclusive(table, &table->entries[i]));
+	return max;
 }
 
-enum judgement {
-	JUDGEMENT_FREE,
-	JUDGEMENT_OPEN, /* as much speaks against another */
-	JUDGEMENT_GUILTY,
+enum attribution {
+	ATTRIBUTION_OTHER,
+	ATTRIBUTION_UNDECIDED, /* as much speaks against another */
+	ATTRIBUTION_CAUSE,
 };
 
 /*
@@ -214,23 +218,23 @@
  * time. Then the crashes that one of them has for itself decide, and where none
  * has any, the next run: suspects run one by one.
  */
-static enum judgement judge(const struct suspect_table *table,
-			    const struct suspect *entry)
+static enum attribution attribute_crashes(const struct suspect_table *table,
+					  const struct suspect *entry)
 {
-	uint32_t rivals_own;
-	uint32_t own;
+	uint32_t others_exclusive;
+	uint32_t exclusive;
 
-	if (!has_enough_crashes(entry))
-		return JUDGEMENT_FREE;
-	own = count_own(table, entry);
-	if (!own)
-		return JUDGEMENT_FREE;
-	if (own > 1 || entry->counted > SUSPECT_CRASHES)
-		return JUDGEMENT_GUILTY;
-	rivals_own = count_rivals_own(table, entry);
-	if (rivals_own == 1)
-		return JUDGEMENT_OPEN;
-	return rivals_own ? JUDGEMENT_FREE : JUDGEMENT_GUILTY;
+	if (!has_quarantine_crashes(entry))
+		return ATTRIBUTION_OTHER;
+	exclusive = count_exclusive(table, entry);
+	if (!exclusive)
+		return ATTRIBUTION_OTHER;
+	if (exclusive > 1 || entry->counted > SUSPECT_QUARANTINE_CRASHES)
+		return ATTRIBUTION_CAUSE;
+	others_exclusive = max_others_exclusive(table, entry);
+	if (others_exclusive == 1)
+		return ATTRIBUTION_UNDECIDED;
+	return others_exclusive ? ATTRIBUTION_OTHER : ATTRIBUTION_CAUSE;
 }
 
 static uint64_t latest_crash_us(const struct suspect *entry)
@@ -244,89 +248,90 @@
 }
 
 /* A first quarantine stands on its crashes, later ones on a try that failed. */
-static void judge_one(const struct suspect_table *table, struct suspect *entry)
+static void reevaluate(const struct suspect_table *table, struct suspect *entry)
 {
-	enum judgement judgement;
+	enum attribution attribution;
 
 	if (entry->by_hand || entry->rounds > 1 ||
-	    (!entry->rounds && !has_enough_crashes(entry)))
+	    (!entry->rounds && !has_quarantine_crashes(entry)))
 		return;
-	judgement = judge(table, entry);
-	if (judgement == JUDGEMENT_FREE)
+	attribution = attribute_crashes(table, entry);
+	if (attribution == ATTRIBUTION_OTHER)
 		entry->rounds = 0;
-	else if (judgement == JUDGEMENT_GUILTY && !entry->rounds)
+	else if (attribution == ATTRIBUTION_CAUSE && !entry->rounds)
 		suspect_begin_quarantine(entry, latest_crash_us(entry));
 }
 
-void suspect_judge_around(struct suspect_table *table,
-			  const struct suspect *around)
+void suspect_reevaluate_related(struct suspect_table *table,
+				const struct suspect *related)
 {
 	uint32_t i;
 
-	for (i = 0; i < SUSPECTS_MOST; i++) {
+	for (i = 0; i < SUSPECT_MAX_ENTRIES; i++) {
 		struct suspect *entry = &table->entries[i];
 
-		if ((entry->rounds || has_enough_crashes(entry)) &&
-		    (entry->fingerprint == around->fingerprint ||
-		     shares_server(around, entry)))
-			judge_one(table, entry);
+		if ((entry->rounds || has_quarantine_crashes(entry)) &&
+		    (entry->fingerprint == related->fingerprint ||
+		     shares_server(related, entry)))
+			reevaluate(table, entry);
 	}
 }
 
 /* --- ends of failure domains --------------------------------------------- */
 
-static void review_all(struct suspect_table *table,
-		       const struct backend_table *backends)
+static void recount_all(struct suspect_table *table,
+			const struct backend_table *backends)
 {
 	uint32_t i;
 
-	for (i = 0; i < SUSPECTS_MOST; i++)
+	for (i = 0; i < SUSPECT_MAX_ENTRIES; i++)
 		if (table->keys[i] &&
-		    suspect_review(table, &table->entries[i], backends))
-			judge_one(table, &table->entries[i]);
+		    suspect_recount_crashes(table, &table->entries[i],
+					    backends))
+			reevaluate(table, &table->entries[i]);
 }
 
 /* Servers of one moment: few, so that a set of their lives is an array. */
-static bool has_life(const GArray *lives, uint32_t life)
+static bool has_incarnation(const GArray *incarnations, uint32_t life)
 {
 	guint i;
 
-	for (i = 0; i < lives->len; i++)
-		if (g_array_index(lives, uint32_t, i) == life)
+	for (i = 0; i < incarnations->len; i++)
+		if (g_array_index(incarnations, uint32_t, i) == life)
 			return true;
 	return false;
 }
 
-static void add_life(GArray *lives, uint32_t life)
+static void add_incarnation(GArray *incarnations, uint32_t life)
 {
-	if (!has_life(lives, life))
-		g_array_append_val(lives, life);
+	if (!has_incarnation(incarnations, life))
+		g_array_append_val(incarnations, life);
 }
 
 /*
  * The lives of the crash's domain that are known to have ended with it: all,
  * and those at which one request was that was at several.
  */
-static void collect_lives(const struct suspect_table *table,
-			  const struct suspect_crash *crash, GArray *lives,
-			  GArray *shared)
+static void collect_incarnations(const struct suspect_table *table,
+				 const struct suspect_crash *crash,
+				 GArray *incarnations, GArray *shared)
 {
 	uint32_t i;
 	uint32_t j;
 
-	for (i = 0; i < SUSPECTS_MOST; i++) {
+	for (i = 0; i < SUSPECT_MAX_ENTRIES; i++) {
 		const struct suspect *entry = &table->entries[i];
 
 		for (j = 0; j < entry->crash_count; j++) {
 			const struct suspect_crash *other = &entry->crashes[j];
 
 			if (difference(other->at_us, crash->at_us) >=
-				    TOGETHER_US ||
+				    SIMULTANEOUS_US ||
 			    other->domain != crash->domain)
 				continue;
-			add_life(lives, other->life);
-			if (has_companion(entry, other))
-				add_life(shared, other->life);
+			add_incarnation(incarnations, other->life);
+			if (has_simultaneous_crash(entry, other))
+				add_incarnation(shared, other->life);
 		}
 	}
 }
@@ -351,30 +356,31 @@
  * Several servers of a domain may have ended in the same moment. A request that
  * was at two of them may be what ended these, and is often heard of last.
  */
-static void note_domain_end(struct suspect_table *table,
-			    const struct backend_table *backends,
-			    const struct suspect_crash *crash)
+static void update_domain_outage(struct suspect_table *table,
+				 const struct backend_table *backends,
+				 const struct suspect_crash *crash)
 {
-	struct suspect_domain_end *end = find_domain_end(table, crash);
-	GArray *lives = g_array_new(FALSE, FALSE, sizeof(uint32_t));
+	struct suspect_domain_outage *outage = find_domain_outage(table, crash);
+	GArray *incarnations = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 	GArray *shared = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 	uint32_t ended;
 
 	if (crash->domain)
-		collect_lives(table, crash, lives, shared);
-	ended = lives->len - shared->len;
-	if (!end && ended >= SUSPECT_DOMAIN_ENDS &&
+		collect_incarnations(table, crash, incarnations, shared);
+	ended = incarnations->len - shared->len;
+	if (!outage && ended >= SUSPECT_DOMAIN_OUTAGE_SERVERS &&
 	    2 * ended >= count_servers(backends, crash->domain)) {
-		end = &table->domain_ends[table->domain_end_next++ %
-					  SUSPECT_DOMAIN_ENDS_MOST];
-		end->domain = crash->domain;
-		end->at_us = crash->at_us;
-		review_all(table, backends);
-	} else if (end && shared->len && ended < SUSPECT_DOMAIN_ENDS) {
-		memset(end, 0, sizeof(*end));
-		review_all(table, backends);
+		outage = &table->domain_outages[table->domain_outage_next++ %
+						SUSPECT_MAX_DOMAIN_OUTAGES];
+		outage->domain = crash->domain;
+		outage->at_us = crash->at_us;
+		recount_all(table, backends);
+	} else if (outage && shared->len &&
+		   ended < SUSPECT_DOMAIN_OUTAGE_SERVERS) {
+		memset(outage, 0, sizeof(*outage));
+		recount_all(table, backends);
 	}
-	g_array_unref(lives);
+	g_array_unref(incarnations);
 	g_array_unref(shared);
 }
 
@@ -390,7 +396,7 @@
 	const struct suspect_crash *first = a->at_us < b->at_us ? a : b;
 	const struct suspect_crash *last = first == a ? b : a;
 
-	return last->at_us - first->at_us < TOGETHER_US &&
+	return last->at_us - first->at_us < SIMULTANEOUS_US &&
 	       last->at_us < first->at_us + last->ran_us;
 }
 
@@ -408,7 +414,7 @@
 			return false;
 		together += may_share_cause(&entry->crashes[i], crash);
 	}
-	return together < SUSPECT_CRASHES - 1;
+	return together < SUSPECT_QUARANTINE_CRASHES - 1;
 }
 
 /*
@@ -416,31 +422,31 @@
  * the latest ones not remembered, those at which others had been would never be
  * followed by one that was its own.
  */
-static uint32_t least_crash(struct suspect_table *table,
-			    const struct suspect *entry)
+static uint32_t find_evictable_crash(struct suspect_table *table,
+				     const struct suspect *entry)
 {
-	uint32_t least = 0;
+	uint32_t evictable = 0;
 	uint32_t i;
 
 	for (i = 0; i < entry->crash_count; i++) {
-		if (!speaks_against(table, entry, &entry->crashes[i]))
+		if (!is_evidence(table, entry, &entry->crashes[i]))
 			return i;
-		if (entry->crashes[i].at_us < entry->crashes[least].at_us)
-			least = i;
+		if (entry->crashes[i].at_us < entry->crashes[evictable].at_us)
+			evictable = i;
 	}
-	return least;
+	return evictable;
 }
 
-static bool keep_crash(struct suspect_table *table, struct suspect *entry,
-		       const struct suspect_crash *crash)
+static bool store_crash(struct suspect_table *table, struct suspect *entry,
+			const struct suspect_crash *crash)
 {
 	uint32_t at;
 
-	if (entry->crash_count < SUSPECT_CRASHES_KEPT) {
+	if (entry->crash_count < SUSPECT_MAX_CRASHES) {
 		entry->crashes[entry->crash_count++] = *crash;
 		return true;
 	}
-	at = least_crash(table, entry);
+	at = find_evictable_crash(table, entry);
 	if (entry->crashes[at].at_us >= crash->at_us)
 		return false;
 	entry->crashes[at] = *crash;
@@ -454,12 +460,12 @@
 {
 	struct suspect_crash known = *crash;
 
-	note_domain(backends, &known);
+	set_domain(backends, &known);
 	if (entry->rounds > 1 || !is_new_crash(entry, &known) ||
-	    !keep_crash(table, entry, &known))
+	    !store_crash(table, entry, &known))
 		return false;
-	note_domain_end(table, backends, &known);
-	suspect_review(table, entry, backends);
-	suspect_judge_around(table, entry);
+	update_domain_outage(table, backends, &known);
+	suspect_recount_crashes(table, entry, backends);
+	suspect_reevaluate_related(table, entry);
 	return true;
 }
--- a/packages/edge/admin_limits.c
+++ b/packages/edge/admin_limits.c
@@ -19,7 +19,7 @@
 		json_real(limit->part_per_s),
 		json_real(rate_limit_tokens(limit, now_us)),
 		admin_json_number(limit->sent),
-		admin_json_number(now_us - limit->named_us),
+		admin_json_number(now_us - limit->learned_us),
 	};
 
 	ADMIN_TABLE_ADD(table, columns, values);
--- a/packages/edge/admin_suspects.c
+++ b/packages/edge/admin_suspects.c
@@ -58,7 +58,7 @@
 		admin_json_number(suspect->rounds),
 		admin_json_number_if(suspect->rounds != 0, left_us),
 		json_boolean(suspect->by_hand),
-		admin_json_number(now_us - suspect->touched_us),
+		admin_json_number(now_us - suspect->updated_us),
 		admin_json_text(suspect->text),
 	};
 
@@ -72,7 +72,7 @@
 	struct admin_table table = ADMIN_TABLE_NEW(columns);
 	uint32_t i;
 
-	for (i = 0; i < SUSPECTS_MOST; i++)
+	for (i = 0; i < SUSPECT_MAX_ENTRIES; i++)
 		if (edge->suspects->keys[i])
 			add_suspect(edge, &edge->suspects->entries[i], &table);
 	return admin_finish_table(edge, &table, "suspects");
--- a/packages/edge/beat.c
+++ b/packages/edge/beat.c
@@ -34,7 +34,7 @@
 }
 
 static void add_suspect(GVariantBuilder *suspects,
-			const struct suspect_word *word)
+			const struct suspect_update *word)
 {
 	GVariantBuilder crashes;
 	uint32_t i;
@@ -45,12 +45,14 @@
 			&crashes, "(uuu)", word->crashes[i].life,
 			(guint32)(word->crashes[i].age_us / US_PER_MS),
 			(guint32)(word->crashes[i].ran_us / US_PER_MS));
-	g_variant_builder_add(
-		suspects, SUSPECT_TYPE, (guint64)word->fingerprint, &crashes,
-		word->rounds, (guint32)(word->left_us / US_PER_MS),
-		(gboolean)word->by_hand, (gboolean)word->cleared,
-		(guint32)(word->cleared_age_us / US_PER_MS), word->run_life,
-		(guint32)(word->run_left_us / US_PER_MS));
+	g_variant_builder_add(suspects, SUSPECT_TYPE,
+			      (guint64)word->fingerprint, &crashes,
+			      word->rounds,
+			      (guint32)(word->left_us / US_PER_MS),
+			      (gboolean)word->by_hand, (gboolean)word->cleared,
+			      (guint32)(word->cleared_age_us / US_PER_MS),
+			      word->run_incarnation,
+			      (guint32)(word->run_left_us / US_PER_MS));
 }
 
 static void add_rates(GVariantBuilder *rates, const struct beat *beat)
@@ -233,17 +235,17 @@
 }
 
 /* More crashes than a node tells are told as one too many: a bad word. */
-static void read_crashes(GVariantIter *iter, struct suspect_word *word)
+static void read_crashes(GVariantIter *iter, struct suspect_update *word)
 {
 	guint32 life;
 	guint32 age_ms;
 	guint32 ran_ms;
 
-	while (word->crash_count <= SUSPECT_CRASHES_KEPT &&
+	while (word->crash_count <= SUSPECT_MAX_CRASHES &&
 	       g_variant_iter_next(iter, "(uuu)", &life, &age_ms, &ran_ms)) {
 		uint32_t at = word->crash_count++;
 
-		if (at == SUSPECT_CRASHES_KEPT)
+		if (at == SUSPECT_MAX_CRASHES)
 			continue;
 		word->crashes[at].life = life;
 		word->crashes[at].age_us = age_ms * US_PER_MS;
@@ -260,14 +262,15 @@
 	gboolean by_hand;
 	gboolean cleared;
 	guint32 cleared_age_ms;
-	guint32 run_life;
+	guint32 run_incarnation;
 	guint32 run_left_ms;
 
 	while (beat->suspect_count < BEAT_MAX_SUSPECTS &&
 	       g_variant_iter_next(iter, SUSPECT_TYPE, &fingerprint, &crashes,
 				   &rounds, &left_ms, &by_hand, &cleared,
-				   &cleared_age_ms, &run_life, &run_left_ms)) {
-		struct suspect_word *word =
+				   &cleared_age_ms, &run_incarnation,
+				   &run_left_ms)) {
+		struct suspect_update *word =
 			&beat->suspects[beat->suspect_count++];
 
 		word->fingerprint = fingerprint;
@@ -277,7 +280,7 @@
 		word->by_hand = by_hand;
 		word->cleared = cleared;
 		word->cleared_age_us = cleared_age_ms * US_PER_MS;
-		word->run_life = run_life;
+		word->run_incarnation = run_incarnation;
 		word->run_left_us = run_left_ms * US_PER_MS;
 		g_variant_iter_free(crashes);
 	}
@@ -291,7 +294,7 @@
 
 	while (beat->rate_count < BEAT_MAX_RATES &&
 	       g_variant_iter_next(iter, "(udu)", &life, &per_s, &age_ms)) {
-		struct rate_word *word = &beat->rates[beat->rate_count++];
+		struct rate_update *word = &beat->rates[beat->rate_count++];
 
 		word->life = life;
 		word->per_s = per_s;
--- a/packages/edge/beat.h
+++ b/packages/edge/beat.h
@@ -95,9 +95,9 @@
 	uint32_t vouch_count;
 	struct beat_row rows[BEAT_MAX_ROWS];
 	uint32_t row_count;
-	struct suspect_word suspects[BEAT_MAX_SUSPECTS];
+	struct suspect_update suspects[BEAT_MAX_SUSPECTS];
 	uint32_t suspect_count;
-	struct rate_word rates[BEAT_MAX_RATES];
+	struct rate_update rates[BEAT_MAX_RATES];
 	uint32_t rate_count;
 	struct beat_token tokens[BEAT_MAX_TOKENS];
 	uint32_t token_count;
--- a/packages/edge/crash_watch.c
+++ b/packages/edge/crash_watch.c
@@ -189,8 +189,8 @@
 			  one->backend->domain);
 		return;
 	}
-	if (!suspect_crashed(edge->suspects, one->fingerprint, edge->backends,
-			     &crash, one->text))
+	if (!suspect_add_own_crash(edge->suspects, one->fingerprint,
+				   edge->backends, &crash, one->text))
 		return;
 	suspect = suspect_table_find(edge->suspects, one->fingerprint);
 	log_crash(suspect, one);
--- a/packages/edge/exchange.c
+++ b/packages/edge/exchange.c
@@ -241,13 +241,13 @@
 	if (!wanted || has_come || exchange->token_holds >= TOKEN_HOLDS)
 		return false;
 	way_us = token_way_us(exchange, wanted);
-	if (rate_limit_may_ask(&wanted->limit, now_us)) {
+	if (rate_limit_may_borrow(&wanted->limit, now_us)) {
 		if (!is_first && way_us)
 			return false;
 		if (!server_limits_ask(exchange->edge, wanted, way_us))
 			return false;
 	} else if (is_first) {
-		rate_limit_miss(&wanted->limit);
+		rate_limit_count_miss(&wanted->limit);
 		return false;
 	}
 	exchange->token_holds++;
@@ -734,7 +734,7 @@
 		finish_without_route(exchange);
 	} else {
 		read_headers(exchange);
-		extra_budget_first(
+		extra_budget_record_first(
 			edge_budget(edge, exchange->query.service->name),
 			&edge->settings.extra, exchange_now_us(exchange));
 		dispatch(exchange);
--- a/packages/edge/exchange_suspect.c
+++ b/packages/edge/exchange_suspect.c
@@ -23,7 +23,7 @@
 static uint64_t fingerprint(struct exchange *exchange)
 {
 	const struct message *request = exchange->request;
-	const struct fingerprint_parts parts = {
+	const struct fingerprint_input parts = {
 		.method = http_method_str(request->method),
 		.host = message_header(request, "Host"),
 		.target = request->target->str,
@@ -61,7 +61,7 @@
 {
 	exchange->choice.hold_us = hold_us;
 	exchange->choice.retry_after_us = RETRY_AT_WORK_US;
-	*cause = suspect_verdict_name(SUSPECT_AT_WORK);
+	*cause = suspect_verdict_name(SUSPECT_RUNNING);
 	if (exchange_left_us(exchange) > exchange->retry.usual_us + hold_us)
 		return EXCHANGE_WAIT;
 	return EXCHANGE_REFUSE;
@@ -83,7 +83,7 @@
 {
 	struct edge *edge = exchange->edge;
 	enum exchange_leave leave =
-		wait_or_refuse(exchange, SUSPECT_CLAIM_US, cause);
+		wait_or_refuse(exchange, SUSPECT_CLAIM_WAIT_US, cause);
 
 	if (leave == EXCHANGE_REFUSE)
 		return leave;
@@ -133,7 +133,7 @@
 		.node = edge->members->self->hash,
 		.has_claimed = exchange->has_claimed,
 	};
-	struct suspect_ruling ruling;
+	struct suspect_decision ruling;
 
 	exchange->query.apart = CHOOSE_TOGETHER;
 	exchange->is_suspect = false;
@@ -143,14 +143,14 @@
 		return EXCHANGE_RUN;
 	query.fingerprint = fingerprint(exchange);
 	query.is_prober = !rank(edge, query.fingerprint);
-	suspect_rule(edge->suspects, &query, edge->backends,
-		     exchange_now_us(exchange), &ruling);
+	suspect_decide(edge->suspects, &query, edge->backends,
+		       exchange_now_us(exchange), &ruling);
 	switch (ruling.verdict) {
-	case SUSPECT_AT_WORK:
+	case SUSPECT_RUNNING:
 		return wait_for_run(exchange, cause);
 	case SUSPECT_QUARANTINED:
 		return refuse_quarantined(exchange, ruling.left_us, cause);
-	case SUSPECT_ALONE:
+	case SUSPECT_MAY_RUN:
 		if (ruling.claims)
 			return claim(exchange, cause);
 		exchange->is_suspect = true;
@@ -178,7 +178,7 @@
 		return;
 	exchange->runs_as_suspect = true;
 	exchange->has_claimed = false;
-	suspect_run_begins(edge->suspects, &run);
+	suspect_begin_run(edge->suspects, &run);
 	tell_others(exchange);
 }
 
@@ -189,8 +189,8 @@
 	if (!exchange->runs_as_suspect)
 		return;
 	exchange->runs_as_suspect = false;
-	suspect_run_ends(edge->suspects, exchange->fingerprint,
-			 edge->members->self->hash);
+	suspect_end_run(edge->suspects, exchange->fingerprint,
+			edge->members->self->hash);
 	tell_others(exchange);
 }
 
@@ -204,8 +204,8 @@
 		return;
 	suspect = suspect_table_find(edge->suspects, fingerprint(exchange));
 	was_quarantined = suspect && suspect->rounds;
-	suspect_cleared(edge->suspects, exchange->fingerprint,
-			exchange_now_us(exchange));
+	suspect_clear(edge->suspects, exchange->fingerprint,
+		      exchange_now_us(exchange));
 	if (was_quarantined && edge->quarantines)
 		quarantine_store_keep(edge->quarantines, exchange->fingerprint);
 }
--- a/packages/edge/gossip_words.c
+++ b/packages/edge/gossip_words.c
@@ -31,14 +31,15 @@
 	struct beat beat = { .life_count = 0 };
 
 	gossip_sign(gossip, &beat);
-	beat.suspect_count = suspect_urgent_words(
+	beat.suspect_count = suspect_collect_broadcast(
 		edge->suspects, edge->members->self->hash, edge_now_us(edge),
 		beat.suspects, BEAT_MAX_SUSPECTS);
 	beat.rate_count =
 		server_limits_urgent_words(edge, beat.rates, BEAT_MAX_RATES);
 	if (beat.suspect_count || beat.rate_count)
 		gossip_send_to_all(gossip, &beat);
-	if (suspect_is_urgent(edge->suspects) || server_limits_are_urgent(edge))
+	if (suspect_has_broadcast(edge->suspects) ||
+	    server_limits_are_urgent(edge))
 		uv_timer_start(timer, on_word_timer, AGAIN_US / US_PER_MS, 0);
 }
 
@@ -72,9 +73,10 @@
 	if (edge->quarantines)
 		quarantine_store_review(edge->quarantines);
 	gossip_sign(gossip, &beat);
-	beat.suspect_count = suspect_words(edge->suspects,
-					   edge->members->self->hash, now_us,
-					   beat.suspects, WORDS_A_BEAT);
+	beat.suspect_count = suspect_collect_updates(edge->suspects,
+						     edge->members->self->hash,
+						     now_us, beat.suspects,
+						     WORDS_A_BEAT);
 	if (gossip->rounds % RATES_EVERY == 0)
 		beat.rate_count =
 			server_limits_words(edge, beat.rates, RATES_A_BEAT);
@@ -98,10 +100,9 @@
 	    !member->peer.port)
 		return;
 	gossip_sign(gossip, &words);
-	words.suspect_count = suspect_words(edge->suspects,
-					    edge->members->self->hash,
-					    edge_now_us(edge), words.suspects,
-					    BEAT_MAX_SUSPECTS);
+	words.suspect_count = suspect_collect_updates(
+		edge->suspects, edge->members->self->hash, edge_now_us(edge),
+		words.suspects, BEAT_MAX_SUSPECTS);
 	words.rate_count =
 		server_limits_words(edge, words.rates, BEAT_MAX_RATES);
 	if (words.suspect_count || words.rate_count)
@@ -144,7 +145,8 @@
  * Crashes that several nodes saw may add up here first. One of those that saw
  * any writes the row, not each node that hears of all.
  */
-static void note_quarantine(struct edge *edge, const struct suspect_word *word)
+static void note_quarantine(struct edge *edge,
+			    const struct suspect_update *word)
 {
 	const struct suspect *suspect =
 		suspect_table_find(edge->suspects, word->fingerprint);
@@ -154,7 +156,7 @@
 		  "by_hand=%s left_us=%" PRIu64,
 		  word->fingerprint, word->crash_count, word->rounds,
 		  word->by_hand ? "yes" : "no", word->left_us);
-	if (suspect->seen_here && edge->quarantines)
+	if (suspect->seen_locally && edge->quarantines)
 		quarantine_store_keep(edge->quarantines, word->fingerprint);
 }
 
@@ -170,12 +172,13 @@
 		if (!server_limits_take(edge, &beat->rates[i]))
 			metric_add(edge->stats.words_rejected, 1);
 	for (i = 0; i < beat->suspect_count; i++) {
-		const struct suspect_word *word = &beat->suspects[i];
+		const struct suspect_update *word = &beat->suspects[i];
 		bool was = suspect_is_quarantined(edge->suspects,
 						  word->fingerprint);
 
-		if (!suspect_take(edge->suspects, word, beat->lives[0].member,
-				  edge->backends, now_us))
+		if (!suspect_apply_update(edge->suspects, word,
+					  beat->lives[0].member, edge->backends,
+					  now_us))
 			metric_add(edge->stats.words_rejected, 1);
 		else if (!was && suspect_is_quarantined(edge->suspects,
 							word->fingerprint))
--- a/packages/edge/quarantine_store.c
+++ b/packages/edge/quarantine_store.c
@@ -198,13 +198,13 @@
 	uint64_t ms = passed_ms(record);
 
 	return ms >= record->left_ms &&
-	       ms - record->left_ms >= SUSPECT_KEEP_US / US_PER_MS;
+	       ms - record->left_ms >= SUSPECT_TTL_US / US_PER_MS;
 }
 
 static bool take_record(struct edge *edge, uint64_t fingerprint,
 			const struct quarantine_record *record)
 {
-	struct suspect_word word = {
+	struct suspect_update word = {
 		.fingerprint = fingerprint,
 		.crash_count = record->life_count,
 		.rounds = record->rounds,
@@ -217,8 +217,9 @@
 		word.crashes[i].life = record->lives[i];
 		word.crashes[i].age_us = i * US_PER_MS;
 	}
-	return suspect_take(edge->suspects, &word, edge->members->self->hash,
-			    edge->backends, edge_now_us(edge));
+	return suspect_apply_update(edge->suspects, &word,
+				    edge->members->self->hash, edge->backends,
+				    edge_now_us(edge));
 }
 
 static void keep_text(struct edge *edge, uint64_t fingerprint, const char *text)
--- a/packages/edge/server_limits.c
+++ b/packages/edge/server_limits.c
@@ -20,18 +20,18 @@
 static double part_of(const struct edge *edge, const struct backend *backend)
 {
 	uint64_t now_us = edge_now_us(edge);
-	double per_s = rate_limit_in_force(&backend->limit, now_us);
+	double per_s = rate_limit_effective(&backend->limit, now_us);
 
 	if (per_s == 0 || now_us - edge->began_us < SENDER_WAIT_US)
 		return 0;
-	return rate_limit_part(edge->members, backend->region, backend->hash,
-			       per_s);
+	return rate_limit_quota(edge->members, backend->region, backend->hash,
+				per_s);
 }
 
 static void share(struct edge *edge, struct backend *backend)
 {
-	rate_limit_share(&backend->limit, part_of(edge, backend),
-			 edge_now_us(edge));
+	rate_limit_set_quota(&backend->limit, part_of(edge, backend),
+			     edge_now_us(edge));
 }
 
 void server_limits_share(struct edge *edge)
@@ -81,8 +81,8 @@
 				  "backend=%s limit=%.32s", backend->id, text);
 		return;
 	}
-	if (!rate_limit_heard(&backend->limit, per_s, sent_us,
-			      edge_now_us(edge)))
+	if (!rate_limit_apply_answer(&backend->limit, per_s, sent_us,
+				     edge_now_us(edge)))
 		return;
 	note_change(edge, backend, "answer");
 	backend->limit.urgent = URGENT_TELLS;
@@ -90,17 +90,17 @@
 		gossip_tell_words(edge->gossip);
 }
 
-bool server_limits_take(struct edge *edge, const struct rate_word *word)
+bool server_limits_take(struct edge *edge, const struct rate_update *word)
 {
 	struct backend *backend =
 		backend_table_find_life(edge->backends, word->life);
 	uint64_t now_us = edge_now_us(edge);
 
-	if (!rate_limit_is_sane(word))
+	if (!rate_limit_update_is_valid(word))
 		return false;
 	if (backend &&
-	    rate_limit_told(&backend->limit, word->per_s,
-			    now_us - MIN(now_us, word->age_us), now_us))
+	    rate_limit_apply_update(&backend->limit, word->per_s,
+				    now_us - MIN(now_us, word->age_us), now_us))
 		note_change(edge, backend, "word");
 	return true;
 }
@@ -108,11 +108,11 @@
 /* One of the senders, for so many tokens, unless it is asked already. */
 static void ask_one(struct edge *edge, struct backend *backend, uint32_t tokens)
 {
-	const struct member *sender = rate_limit_sender(
+	const struct member *sender = rate_limit_pick_holder(
 		&backend->limit, edge->members, backend->region, backend->hash,
 		g_random_double(), edge_now_us(edge));
 
-	if (sender && rate_limit_ask(&backend->limit, sender->hash))
+	if (sender && rate_limit_mark_asked(&backend->limit, sender->hash))
 		gossip_ask_tokens(edge->gossip, sender, backend->life, tokens);
 }
 
@@ -125,10 +125,10 @@
 
 	if (!edge->gossip)
 		return false;
-	tokens = rate_limit_begin_asking(&backend->limit, way_us,
-					 edge_now_us(edge));
+	tokens = rate_limit_begin_borrowing(&backend->limit, way_us,
+					    edge_now_us(edge));
 	/* A second question would cost the way once more. */
-	senders = way_us ? MIN(tokens, RATE_LIMIT_ASKS_MOST) : 1;
+	senders = way_us ? MIN(tokens, RATE_LIMIT_MAX_ASKED) : 1;
 	for (i = 0; i < senders; i++)
 		ask_one(edge, backend, (tokens + senders - 1) / senders);
 	return backend->limit.asked_count > 0;
@@ -146,8 +146,8 @@
 	if (!backend)
 		return false;
 	if (!token->asked) {
-		rate_limit_answered(&backend->limit, from->hash, token->lent,
-				    token->wait_ms * US_PER_MS, now_us);
+		rate_limit_apply_loan(&backend->limit, from->hash, token->lent,
+				      token->wait_ms * US_PER_MS, now_us);
 		return false;
 	}
 	answer->life = token->life;
@@ -159,15 +159,15 @@
 }
 
 static void fill_word(const struct edge *edge, const struct backend *backend,
-		      struct rate_word *word)
+		      struct rate_update *word)
 {
 	word->life = backend->life;
 	word->per_s = backend->limit.per_s;
-	word->age_us = edge_now_us(edge) - backend->limit.named_us;
+	word->age_us = edge_now_us(edge) - backend->limit.learned_us;
 }
 
-uint32_t server_limits_urgent_words(struct edge *edge, struct rate_word *words,
-				    uint32_t most)
+uint32_t server_limits_urgent_words(struct edge *edge,
+				    struct rate_update *words, uint32_t most)
 {
 	uint64_t now_us = edge_now_us(edge);
 	GHashTableIter iter;
@@ -181,17 +181,17 @@
 		struct backend *backend = value;
 
 		if (!backend->limit.urgent ||
-		    now_us - backend->limit.told_us < URGENT_SPACING_US)
+		    now_us - backend->limit.broadcast_us < URGENT_SPACING_US)
 			continue;
 		backend->limit.urgent--;
-		backend->limit.told_us = now_us;
+		backend->limit.broadcast_us = now_us;
 		fill_word(edge, backend, &words[count++]);
 	}
 	return count;
 }
 
 /* Those that were passed over this time are told the next time. */
-uint32_t server_limits_words(struct edge *edge, struct rate_word *words,
+uint32_t server_limits_words(struct edge *edge, struct rate_update *words,
 			     uint32_t most)
 {
 	uint32_t seen = 0;
--- a/packages/edge/server_limits.h
+++ b/packages/edge/server_limits.h
@@ -21,7 +21,7 @@
 			 const struct message *answer, uint64_t sent_us);
 
 /* A neighbour's word; false where it can't be true. */
-bool server_limits_take(struct edge *edge, const struct rate_word *word);
+bool server_limits_take(struct edge *edge, const struct rate_update *word);
 
 /*
  * Ask one of the server's senders for tokens, over a way of so long there and
@@ -42,9 +42,9 @@
  * Words to tell, at most most: those that all should hear at once, or with a
  * beat some of all in turn. Returns how many.
  */
-uint32_t server_limits_urgent_words(struct edge *edge, struct rate_word *words,
-				    uint32_t most);
-uint32_t server_limits_words(struct edge *edge, struct rate_word *words,
+uint32_t server_limits_urgent_words(struct edge *edge,
+				    struct rate_update *words, uint32_t most);
+uint32_t server_limits_words(struct edge *edge, struct rate_update *words,
 			     uint32_t most);
 bool server_limits_are_urgent(const struct edge *edge);
 
--- a/packages/node/state_shares.c
+++ b/packages/node/state_shares.c
@@ -141,7 +141,8 @@
 		targets[count].slots = gate_share(backend->slots, rank, nodes);
 		count++;
 	}
-	share_table_change(node->shares, config->version, targets, count);
+	share_table_apply_version(node->shares, config->version, targets,
+				  count);
 	node->shares_since_us = state_now_us(node);
 	add_sharers(node, snapshot);
 	g_free(targets);
--- a/tests/core/admission_test.cc
+++ b/tests/core/admission_test.cc
@@ -18,13 +18,13 @@
 
 /* The objective is 400 ms. */
 const admission_case admission_cases[] = {
-	{ "InTime", 200, 0, 0, 1000, ADMISSION_TAKE },
-	{ "QueuesAndIsInTime", 390, 200, 0, 1000, ADMISSION_TAKE },
+	{ "InTime", 200, 0, 0, 1000, ADMISSION_ACCEPT },
+	{ "QueuesAndIsInTime", 390, 200, 0, 1000, ADMISSION_ACCEPT },
 	{ "QueuesAndIsALittleLate", 410, 210, 0, 1000, ADMISSION_QUEUE_LATE },
 	{ "QueuesAndIsLate", 600, 400, 0, 1000, ADMISSION_QUEUE_LATE },
 	{ "IsLateByWhatItSpent", 390, 200, 200, 800, ADMISSION_QUEUE_LATE },
 	/* A free slot warms the object; nobody waits for it. */
-	{ "IsLateInAFreeSlot", 700, 0, 0, 1000, ADMISSION_TAKE },
+	{ "IsLateInAFreeSlot", 700, 0, 0, 1000, ADMISSION_ACCEPT },
 	/* It would hold a slot and bring nothing. */
 	{ "MissesItsDeadline", 700, 0, 400, 600, ADMISSION_TOO_LATE },
 	{ "QueuesPastItsDeadline", 1100, 600, 0, 1000, ADMISSION_TOO_LATE },
@@ -34,7 +34,7 @@
 {
 };
 
-TEST_P(AdmissionTest, TakesWhatIsWorthItsSlot)
+TEST_P(AdmissionTest, DecidesByWaitAndDeadline)
 {
 	const admission_case &c = GetParam();
 	const struct admission_request request = {
@@ -55,9 +55,9 @@
 {
 	const uint64_t patience_us = 3 * US_PER_S;
 
-	for (double spread : { 0.0, 0.5, 0.999 }) {
+	for (double jitter : { 0.0, 0.5, 0.999 }) {
 		uint64_t after_us =
-			admission_retry_after_us(patience_us, spread);
+			admission_retry_after_us(patience_us, jitter);
 
 		EXPECT_LE(after_us, patience_us / 3);
 		EXPECT_GE(after_us, patience_us / 4);
@@ -71,27 +71,31 @@
 TEST(AdmissionRetryTest, CallersReturnAsTheRateAllows)
 {
 	const uint64_t patience_us = 12 * US_PER_S;
-	struct admission_returns returns = {};
+	struct admission_retry_schedule returns = {};
 	uint64_t now_us = 5 * US_PER_S;
 
 	for (uint64_t i = 1; i <= 6; i++)
 		EXPECT_EQ(i * US_PER_S / 2,
-			  admission_return_us(&returns, 2, patience_us, 0.5,
-					      now_us));
+			  admission_schedule_retry_us(&returns, 2, patience_us,
+						      0.5, now_us));
 	/* The rate is spoken for as long as callers wait. */
 	for (int i = 0; i < 20; i++)
-		admission_return_us(&returns, 2, patience_us, 0.5, now_us);
+		admission_schedule_retry_us(&returns, 2, patience_us, 0.5,
+					    now_us);
 	EXPECT_EQ(admission_retry_after_us(patience_us, 0.9),
-		  admission_return_us(&returns, 2, patience_us, 0.9, now_us));
+		  admission_schedule_retry_us(&returns, 2, patience_us, 0.9,
+					      now_us));
 	now_us += 2 * US_PER_S;
-	EXPECT_LE(admission_return_us(&returns, 2, patience_us, 0.5, now_us),
+	EXPECT_LE(admission_schedule_retry_us(&returns, 2, patience_us, 0.5,
+					      now_us),
 		  2500 * US_PER_MS);
 	/* None comes in time. */
 	EXPECT_EQ(admission_retry_after_us(patience_us, 0.1),
-		  admission_return_us(&returns, 0.01, patience_us, 0.1,
-				      now_us));
+		  admission_schedule_retry_us(&returns, 0.01, patience_us, 0.1,
+					      now_us));
 	EXPECT_EQ(admission_retry_after_us(patience_us, 0.1),
-		  admission_return_us(&returns, 0, patience_us, 0.1, now_us));
+		  admission_schedule_retry_us(&returns, 0, patience_us, 0.1,
+					      now_us));
 }
 
 } // namespace
--- a/tests/core/choose_test.cc
+++ b/tests/core/choose_test.cc
@@ -543,9 +543,9 @@
 	struct rate_limit *near = &add("i-1")->limit;
 	int wanted = 0;
 
-	rate_limit_heard(near, 2, now_us, now_us);
+	rate_limit_apply_answer(near, 2, now_us, now_us);
 	near->ask_again_us = now_us + US_PER_S;
-	rate_limit_heard(&far->limit, 50, now_us, now_us);
+	rate_limit_apply_answer(&far->limit, 50, now_us, now_us);
 	for (int i = 0; i < 100; i++) {
 		struct choice choice = choose();
 
--- a/tests/core/edge_core_test.cc
+++ b/tests/core/edge_core_test.cc
@@ -201,7 +201,7 @@
 		struct extra_budget *node = &nodes[(ms / 20) % 5];
 
 		if (ms < 20000 || ms > 40000) {
-			extra_budget_first(node, &rule, now_us);
+			extra_budget_record_first(node, &rule, now_us);
 			first.push_back(now_us);
 		}
 		while (extra_budget_take(node, &rule, 5, now_us))
--- a/tests/core/fingerprint_test.cc
+++ b/tests/core/fingerprint_test.cc
@@ -19,7 +19,7 @@
 
 uint64_t hash(const request &request)
 {
-	const struct fingerprint_parts parts = {
+	const struct fingerprint_input parts = {
 		.method = request.method,
 		.host = request.host,
 		.target = request.target,
@@ -59,7 +59,7 @@
 {
 };
 
-TEST_P(FingerprintTest, IsOfWhatMakesARequestTheSame)
+TEST_P(FingerprintTest, EqualRequestsHaveEqualFingerprints)
 {
 	EXPECT_EQ(GetParam().same, hash(original) == hash(GetParam().other));
 	EXPECT_NE(0u, hash(GetParam().other));
--- a/tests/core/rate_limit_test.cc
+++ b/tests/core/rate_limit_test.cc
@@ -62,20 +62,20 @@
 			 [](const auto &info) { return info.param.name; });
 
 /* Words on one server's rate in the order in which they come. */
-struct belief_step {
+struct rate_step {
 	char from; /* 'a'nswer or 'w'ord of a neighbour */
 	double per_s;
 	uint64_t when_s; /* asked for, or learned by the neighbour */
 	uint64_t now_s;
-	double believed;
+	double expected_per_s;
 };
 
-struct belief_case {
+struct rate_case {
 	const char *name;
-	std::vector<belief_step> steps;
+	std::vector<rate_step> steps;
 };
 
-const belief_case belief_cases[] = {
+const rate_case rate_cases[] = {
 	{ "Named", { { 'a', 2, 10, 11, 2 } } },
 	{ "NeverNamed", { { 'a', 0, 10, 11, 0 } } },
 	{ "Lowered", { { 'a', 9, 10, 12, 9 }, { 'a', 2, 11, 13, 2 } } },
@@ -100,38 +100,41 @@
 	  { { 'w', 2, 12, 13, 2 }, { 'a', 0, 11, 14, 2 } } },
 };
 
-class BeliefTest : public ::testing::TestWithParam<belief_case>
+class RateSequenceTest : public ::testing::TestWithParam<rate_case>
 {
 };
 
-TEST_P(BeliefTest, TheNewestRateIsBelieved)
+TEST_P(RateSequenceTest, NewestRateWins)
 {
 	struct rate_limit limit = {};
 
-	for (const belief_step &step : GetParam().steps) {
+	for (const rate_step &step : GetParam().steps) {
 		uint64_t when_us = step.when_s * US_PER_S;
 		uint64_t now_us = step.now_s * US_PER_S;
 
 		if (step.from == 'a')
-			rate_limit_heard(&limit, step.per_s, when_us, now_us);
+			rate_limit_apply_answer(&limit, step.per_s, when_us,
+						now_us);
 		else
-			rate_limit_told(&limit, step.per_s, when_us, now_us);
-		EXPECT_DOUBLE_EQ(step.believed, limit.per_s) << step.now_s;
+			rate_limit_apply_update(&limit, step.per_s, when_us,
+						now_us);
+		EXPECT_DOUBLE_EQ(step.expected_per_s, limit.per_s)
+			<< step.now_s;
 	}
 }
 
-INSTANTIATE_TEST_SUITE_P(RateLimit, BeliefTest,
-			 ::testing::ValuesIn(belief_cases),
+INSTANTIATE_TEST_SUITE_P(RateLimit, RateSequenceTest,
+			 ::testing::ValuesIn(rate_cases),
 			 [](const auto &info) { return info.param.name; });
 
 /* A request that was chosen for the server and never sent costs it nothing. */
-TEST(RateLimitTest, WhatWasNotSentGoesBack)
+TEST(RateLimitTest, UnsentRequestReturnsItsToken)
 {
 	struct rate_limit limit = {};
 	uint64_t now_us = 10 * US_PER_S;
 
-	rate_limit_heard(&limit, 2, now_us, now_us);
-	rate_limit_share(&limit, 1, now_us);
+	rate_limit_apply_answer(&limit, 2, now_us, now_us);
+	rate_limit_set_quota(&limit, 1, now_us);
 	now_us += US_PER_S;
 	ASSERT_DOUBLE_EQ(1, rate_limit_tokens(&limit, now_us));
 	ASSERT_TRUE(rate_limit_take(&limit, now_us));
@@ -147,22 +150,22 @@
 }
 
 /* A borrowed token is used once, in time, and goes back if it wasn't sent. */
-TEST(RateLimitTest, ABorrowedTokenIsUsedOnceAndInTime)
+TEST(RateLimitTest, BorrowedTokenIsUsedOnceAndExpires)
 {
 	struct rate_limit limit = {};
 	uint64_t now_us = 10 * US_PER_S;
-	const uint32_t sender = 7;
+	const uint32_t holder = 7;
 
-	rate_limit_heard(&limit, 2, now_us, now_us);
-	rate_limit_answered(&limit, sender, 1, 0, now_us);
+	rate_limit_apply_answer(&limit, 2, now_us, now_us);
+	rate_limit_apply_loan(&limit, holder, 1, 0, now_us);
 	EXPECT_FALSE(rate_limit_allows(&limit, now_us));
-	rate_limit_begin_asking(&limit, 0, now_us);
-	EXPECT_TRUE(rate_limit_ask(&limit, sender));
-	EXPECT_FALSE(rate_limit_ask(&limit, sender));
-	EXPECT_FALSE(rate_limit_may_ask(&limit, now_us));
-	rate_limit_answered(&limit, sender + 1, 1, 0, now_us);
+	rate_limit_begin_borrowing(&limit, 0, now_us);
+	EXPECT_TRUE(rate_limit_mark_asked(&limit, holder));
+	EXPECT_FALSE(rate_limit_mark_asked(&limit, holder));
+	EXPECT_FALSE(rate_limit_may_borrow(&limit, now_us));
+	rate_limit_apply_loan(&limit, holder + 1, 1, 0, now_us);
 	EXPECT_FALSE(rate_limit_allows(&limit, now_us));
-	rate_limit_answered(&limit, sender, 1, 0, now_us);
+	rate_limit_apply_loan(&limit, holder, 1, 0, now_us);
 	rate_limit_take(&limit, now_us);
 	EXPECT_FALSE(rate_limit_allows(&limit, now_us));
 	rate_limit_give_back(&limit, now_us);
@@ -171,71 +174,71 @@
 }
 
 /* One sender without a token is passed over, a second one is waited for. */
-TEST(RateLimitTest, TwoSendersWithoutATokenEndTheQuestions)
+TEST(RateLimitTest, TwoRefusalsPauseBorrowing)
 {
 	struct rate_limit limit = {};
 	uint64_t now_us = 10 * US_PER_S;
 
-	rate_limit_heard(&limit, 2, now_us, now_us);
-	rate_limit_begin_asking(&limit, 0, now_us);
-	rate_limit_ask(&limit, 7);
-	rate_limit_answered(&limit, 7, 0, 200000, now_us);
-	EXPECT_TRUE(rate_limit_may_ask(&limit, now_us));
-	rate_limit_begin_asking(&limit, 0, now_us);
-	rate_limit_ask(&limit, 8);
-	rate_limit_answered(&limit, 8, 0, 200000, now_us);
-	EXPECT_FALSE(rate_limit_may_ask(&limit, now_us + 199999));
-	EXPECT_TRUE(rate_limit_may_ask(&limit, now_us + 200000));
+	rate_limit_apply_answer(&limit, 2, now_us, now_us);
+	rate_limit_begin_borrowing(&limit, 0, now_us);
+	rate_limit_mark_asked(&limit, 7);
+	rate_limit_apply_loan(&limit, 7, 0, 200000, now_us);
+	EXPECT_TRUE(rate_limit_may_borrow(&limit, now_us));
+	rate_limit_begin_borrowing(&limit, 0, now_us);
+	rate_limit_mark_asked(&limit, 8);
+	rate_limit_apply_loan(&limit, 8, 0, 200000, now_us);
+	EXPECT_FALSE(rate_limit_may_borrow(&limit, now_us + 199999));
+	EXPECT_TRUE(rate_limit_may_borrow(&limit, now_us + 200000));
 }
 
 /* Each change of a rate that flaps would be told to all nodes. */
-TEST(RateLimitTest, ARateThatFlapsIsTheLowerOne)
+TEST(RateLimitTest, FlappingRateStaysAtTheLowerValue)
 {
 	struct rate_limit limit = {};
 	uint64_t now_us = 10 * US_PER_S;
-	int news = 0;
+	int changes = 0;
 
 	for (int i = 0; i < 1000; i++) {
 		now_us += 10000;
-		news += rate_limit_heard(&limit, i % 2 ? 9 : 2, now_us - 5000,
-					 now_us);
+		changes += rate_limit_apply_answer(&limit, i % 2 ? 9 : 2,
+						   now_us - 5000, now_us);
 		EXPECT_DOUBLE_EQ(2, limit.per_s);
 	}
-	EXPECT_EQ(1, news);
+	EXPECT_EQ(1, changes);
 	now_us += US_PER_S;
-	EXPECT_TRUE(rate_limit_heard(&limit, 9, now_us - 5000, now_us));
+	EXPECT_TRUE(rate_limit_apply_answer(&limit, 9, now_us - 5000, now_us));
 }
 
 /* The same where its answers go to different nodes. */
-TEST(RateLimitTest, ARateThatFlapsByOthersWordsChangesSeldom)
+TEST(RateLimitTest, FlappingRateInPeerUpdatesChangesSeldom)
 {
 	struct rate_limit limit = {};
 	uint64_t now_us = 10 * US_PER_S;
-	int news = 0;
+	int changes = 0;
 
 	for (int i = 0; i < 1000; i++) {
 		now_us += 10000;
-		news += rate_limit_told(&limit, i % 2 ? 9 : 2, now_us - 5000,
-					now_us);
+		changes += rate_limit_apply_update(&limit, i % 2 ? 9 : 2,
+						   now_us - 5000, now_us);
 	}
-	EXPECT_LE(news, 70);
+	EXPECT_LE(changes, 70);
 }
 
 /* All that was held back from a server comes to it in one moment. */
-TEST(RateLimitTest, AServerThatNamesNoRateAnyMoreIsFilledGradually)
+TEST(RateLimitTest, TrafficRampsUpAfterTheLimitIsLifted)
 {
 	struct rate_limit limit = {};
 	uint64_t now_us = 10 * US_PER_S;
 	int sent = 0;
 
-	rate_limit_heard(&limit, 2, now_us, now_us);
-	rate_limit_share(&limit, 2, now_us);
+	rate_limit_apply_answer(&limit, 2, now_us, now_us);
+	rate_limit_set_quota(&limit, 2, now_us);
 	now_us += 10 * US_PER_S;
-	rate_limit_heard(&limit, 0, now_us, now_us);
+	rate_limit_apply_answer(&limit, 0, now_us, now_us);
 	for (int i = 0; i < 50; i++) {
 		now_us += 10000;
-		rate_limit_share(&limit, rate_limit_in_force(&limit, now_us),
-				 now_us);
+		rate_limit_set_quota(
+			&limit, rate_limit_effective(&limit, now_us), now_us);
 		while (rate_limit_allows(&limit, now_us) && ++sent < 1000)
 			rate_limit_take(&limit, now_us);
 	}
@@ -287,7 +290,7 @@
 		node.limit = {};
 		node.shared_us = 0;
 		node.began_us = now_us;
-		rate_limit_told(&node.limit, per_s, now_us, now_us);
+		rate_limit_apply_update(&node.limit, per_s, now_us, now_us);
 	}
 	void freeze(int i, double seconds)
 	{
@@ -299,7 +302,8 @@
 		if (rate > 0)
 			demand_per_s = 5 * rate;
 		for (Node &node : all) {
-			rate_limit_heard(&node.limit, rate, now_us, now_us);
+			rate_limit_apply_answer(&node.limit, rate, now_us,
+						now_us);
 			node.shared_us = 0;
 		}
 	}
@@ -350,7 +354,7 @@
 
 	struct Node;
 
-	struct Word {
+	struct Message {
 		int from;
 		int to;
 		uint32_t asked;
@@ -358,46 +362,49 @@
 		uint64_t wait_us;
 	};
 	/* Between regions 55 ms more; nothing crosses a cut. */
-	void say(const Word &word)
+	void post(const Message &message)
 	{
-		uint64_t way_us = 1000 + random() % 3000;
+		uint64_t round_trip_us = 1000 + random() % 3000;
 
-		if (is_cut && word.from % 2 != word.to % 2)
+		if (is_cut && message.from % 2 != message.to % 2)
 			return;
-		if (word.from % 3 != word.to % 3)
-			way_us += LINK_US / 2;
-		words.emplace(now_us + way_us, word);
+		if (message.from % 3 != message.to % 3)
+			round_trip_us += LINK_US / 2;
+		messages.emplace(now_us + round_trip_us, message);
 	}
 	void deliver_until(uint64_t until_us)
 	{
-		while (!words.empty() && words.begin()->first <= until_us) {
-			Word word = words.begin()->second;
-
-			now_us = words.begin()->first;
-			words.erase(words.begin());
-			if (now_us >= all[word.to].frozen_until_us)
-				hear(word);
+		while (!messages.empty() &&
+		       messages.begin()->first <= until_us) {
+			Message message = messages.begin()->second;
+
+			now_us = messages.begin()->first;
+			messages.erase(messages.begin());
+			if (now_us >= all[message.to].frozen_until_us)
+				receive(message);
 		}
 	}
-	void hear(const Word &word)
+	void receive(const Message &message)
 	{
-		Node &node = all[word.to];
+		Node &node = all[message.to];
 
 		share(node);
-		if (word.asked) {
-			Word answer = { word.to, word.from, 0, 0, 0 };
+		if (message.asked) {
+			Message answer = { message.to, message.from, 0, 0, 0 };
 
-			answer.lent = rate_limit_lend(&node.limit, word.asked,
-						      now_us, &answer.wait_us);
-			say(answer);
+			answer.lent = rate_limit_lend(&node.limit,
+						      message.asked, now_us,
+						      &answer.wait_us);
+			post(answer);
 			return;
 		}
-		rate_limit_answered(&node.limit, hash_of(word.from), word.lent,
-				    word.wait_us, now_us);
-		if (now_us - node.waits_since_us < HOLD_US + way_us(word.to) &&
-		    !send(node) && !way_us(word.to) &&
-		    rate_limit_may_ask(&node.limit, now_us))
-			ask(word.to);
+		rate_limit_apply_loan(&node.limit, hash_of(message.from),
+				      message.lent, message.wait_us, now_us);
+		if (now_us - node.waits_since_us <
+			    HOLD_US + round_trip_us(message.to) &&
+		    !send(node) && !round_trip_us(message.to) &&
+		    rate_limit_may_borrow(&node.limit, now_us))
+			ask(message.to);
 	}
 	bool send(Node &node)
 	{
@@ -416,8 +423,8 @@
 		share(node);
 		if (send(node))
 			return;
-		if (!rate_limit_may_ask(&node.limit, now_us)) {
-			rate_limit_miss(&node.limit);
+		if (!rate_limit_may_borrow(&node.limit, now_us)) {
+			rate_limit_count_miss(&node.limit);
 			return;
 		}
 		node.waits_since_us = now_us;
@@ -426,22 +433,24 @@
 	void ask(int i)
 	{
 		Node &node = all[i];
-		uint32_t tokens =
-			rate_limit_begin_asking(&node.limit, way_us(i), now_us);
-		uint32_t senders = way_us(i) ? std::min(tokens, 3u) : 1;
+		uint32_t tokens = rate_limit_begin_borrowing(
+			&node.limit, round_trip_us(i), now_us);
+		uint32_t holders = round_trip_us(i) ? std::min(tokens, 3u) : 1;
 
-		for (uint32_t k = 0; k < senders; k++) {
-			const struct member *sender = rate_limit_sender(
+		for (uint32_t k = 0; k < holders; k++) {
+			const struct member *holder = rate_limit_pick_holder(
 				&node.limit, node.members, "r0",
 				hash_text("i-1"),
 				(double)(random() % 1000) / 1000, now_us);
 
-			if (sender && rate_limit_ask(&node.limit, sender->hash))
-				say({ i, atoi(sender->name + 1),
-				      (tokens + senders - 1) / senders, 0, 0 });
+			if (holder &&
+			    rate_limit_mark_asked(&node.limit, holder->hash))
+				post({ i, atoi(holder->name + 1),
+				       (tokens + holders - 1) / holders, 0,
+				       0 });
 		}
 	}
-	static uint64_t way_us(int i)
+	static uint64_t round_trip_us(int i)
 	{
 		return i % 3 ? LINK_US : 0;
 	}
@@ -517,15 +526,15 @@
 			return;
 		node.shared_us = now_us;
 		keep_heard(node);
-		double rate = rate_limit_in_force(&node.limit, now_us);
+		double rate = rate_limit_effective(&node.limit, now_us);
 		double part = waits ? 0 :
-				      rate_limit_part(node.members, "r0",
-						      hash_text("i-1"), rate);
-		rate_limit_share(&node.limit, part, now_us);
+				      rate_limit_quota(node.members, "r0",
+						       hash_text("i-1"), rate);
+		rate_limit_set_quota(&node.limit, part, now_us);
 	}
 	std::vector<Node> all;
 	std::vector<uint64_t> sends;
-	std::multimap<uint64_t, Word> words;
+	std::multimap<uint64_t, Message> messages;
 };
 
 struct fleet_case {
@@ -584,7 +593,7 @@
 }
 
 /* One, a third and all restarted, others frozen, one added meanwhile. */
-TEST_P(RateFleetTest, TheSumHoldsWhateverNodesDo)
+TEST_P(RateFleetTest, TheSumHoldsThroughRestartsAndFreezes)
 {
 	const int nodes = GetParam().nodes;
 
@@ -606,7 +615,7 @@
 }
 
 /* Halved, the bound of the lower rate holds a second later. */
-TEST_P(RateFleetTest, ALowerRateHoldsASecondLater)
+TEST_P(RateFleetTest, LowerRateHoldsAfterOneSecond)
 {
 	for_each_seed([](RateFleet &fleet) {
 		fleet.play_for(6);
@@ -634,7 +643,7 @@
 }
 
 /* Two halves that can't hear each other, for longer than a beat's silence. */
-TEST_P(RateFleetTest, TheSumHoldsThroughACut)
+TEST_P(RateFleetTest, TheSumHoldsDuringAPartition)
 {
 	for_each_seed([](RateFleet &fleet) {
 		fleet.play_for(5);
@@ -647,7 +656,7 @@
 }
 
 /* Gone, it is filled within seconds and not in one moment. */
-TEST_P(RateFleetTest, ARateThatIsGoneIsLeftByDegrees)
+TEST_P(RateFleetTest, TrafficRampsUpAfterTheRateIsLifted)
 {
 	for_each_seed([](RateFleet &fleet) {
 		fleet.play_for(6);
--- a/tests/core/share_test.cc
+++ b/tests/core/share_test.cc
@@ -10,7 +10,7 @@
 {
 	struct share_target target = { "b", slots };
 
-	share_table_change(table, version, &target, 1);
+	share_table_apply_version(table, version, &target, 1);
 }
 
 TEST(Share, ShrinksAtOnceAndGrowsWhenSettled)
--- a/tests/core/suspect_fleet.h
+++ b/tests/core/suspect_fleet.h
@@ -26,8 +26,8 @@
 				   */
 inline const int REGIONS = 3;
 inline const int DOMAINS = 3;
-inline const int NEAR_DRAWN = 12;
-inline const int FAR_DRAWN = 3;
+inline const int NEAR_PEERS = 12;
+inline const int FAR_PEERS = 3;
 inline const uint64_t NEAR_US = US_PER_MS;
 inline const uint64_t FAR_US = 55 * US_PER_MS;
 inline const double LOSS = 0.01;
@@ -45,9 +45,10 @@
 	double crashes_per_s; /* of servers by themselves */
 	bool power; /* a third of the servers end at once, three times */
 	bool kill_all; /* nodes die at 5 s; the store's rows stay */
-	bool cut; /* a region is cut off from 1 to 6 s */
-	int most_crashes; /* under each deadly request */
-	int most_late; /* runs of one later than 1 s after its third crash */
+	bool partition; /* a region is cut off from 1 to 6 s */
+	int max_crashes; /* under each deadly request */
+	int max_late_runs; /* runs of one later than 1 s after its third crash
+			    */
 };
 
 class Fleet
@@ -64,7 +65,7 @@
 		}
 		stats.resize((size_t)c.deadly);
 	}
-	void play(uint64_t until_us)
+	void run_until(uint64_t until_us)
 	{
 		while (now_us < until_us + DRAIN_US) {
 			now_us += STEP_US;
@@ -80,7 +81,7 @@
 			end_runs();
 			retry();
 			deliver();
-			tell();
+			send_updates();
 		}
 	}
 	uint64_t quarantined_falsely()
@@ -88,7 +89,7 @@
 		uint64_t count = 0;
 
 		for (const auto &node : nodes_)
-			for (uint32_t i = 0; i < SUSPECTS_MOST; i++)
+			for (uint32_t i = 0; i < SUSPECT_MAX_ENTRIES; i++)
 				count += is_falsely_quarantined(*node, i);
 		return count;
 	}
@@ -99,12 +100,12 @@
 		std::string text;
 
 		for (const auto &node : nodes_)
-			for (uint32_t i = 0; i < SUSPECTS_MOST; i++)
+			for (uint32_t i = 0; i < SUSPECT_MAX_ENTRIES; i++)
 				if (is_falsely_quarantined(*node, i))
 					wrong.insert(node->table->keys[i]);
 		for (size_t i = 0; i < stats.size(); i++)
-			if (stats[i].crashes > case_.most_crashes ||
-			    stats[i].late > case_.most_late)
+			if (stats[i].crashes > case_.max_crashes ||
+			    stats[i].late > case_.max_late_runs)
 				wrong.insert(DEADLY + i);
 		for (const Crash &crash : history_)
 			if (crash.concerns(wrong))
@@ -125,16 +126,17 @@
 	std::vector<uint64_t> served_after_us; /* their first crash */
 
       private:
-	struct Word {
+	struct Update {
 		size_t to;
 		uint32_t from;
-		struct suspect_word word;
+		struct suspect_update update;
 	};
 	struct Node {
 		struct suspect_table *table = suspect_table_new();
 		int region;
-		uint64_t urgent_us = 0; /* when it tells urgent words; 0: none
-					 */
+		uint64_t broadcast_at_us = 0; /* when it tells urgent words; 0:
+					       * none
+					       */
 		uint64_t beat_us;
 		uint64_t ready_us = 0; /* refuses all before */
 		~Node()
@@ -143,7 +145,7 @@
 		}
 	};
 	struct Run {
-		uint64_t print;
+		uint64_t fingerprint;
 		size_t node;
 		uint64_t began_us;
 		uint64_t end_us;
@@ -159,12 +161,13 @@
 		uint64_t culprit; /* 0: none */
 		std::vector<Run> runs; /* that it broke off */
 
-		bool concerns(const std::set<uint64_t> &prints) const
+		bool concerns(const std::set<uint64_t> &fingerprints) const
 		{
-			return std::any_of(
-				runs.begin(), runs.end(), [&](const Run &run) {
-					return prints.count(run.print);
-				});
+			return std::any_of(runs.begin(), runs.end(),
+					   [&](const Run &run) {
+						   return fingerprints.count(
+							   run.fingerprint);
+					   });
 		}
 		std::string line() const
 		{
@@ -174,7 +177,7 @@
 				", culprit " + std::to_string(culprit) + ":";
 
 			for (const Run &run : runs)
-				text += " " + std::to_string(run.print) +
+				text += " " + std::to_string(run.fingerprint) +
 					" (node " + std::to_string(run.node) +
 					", send " + std::to_string(run.sends) +
 					", ran " +
@@ -227,9 +230,10 @@
 			if (!server.life && server.back_us <= now_us)
 				start(server);
 	}
-	int below(int most)
+	int below(int limit)
 	{
-		return std::uniform_int_distribution<int>(0, most - 1)(random_);
+		return std::uniform_int_distribution<int>(0,
+							  limit - 1)(random_);
 	}
 	bool happens(double per_s)
 	{
@@ -237,7 +241,7 @@
 
 		return std::uniform_real_distribution<>(0, 1)(random_) < part;
 	}
-	bool comes(int deadly)
+	bool arrives_now(int deadly)
 	{
 		uint64_t gap_us = (uint64_t)(1e6 / case_.deadly_per_s);
 		uint64_t phase_us = (uint64_t)deadly * 71 * US_PER_MS;
@@ -246,18 +250,18 @@
 			return happens(case_.deadly_per_s);
 		return (now_us + phase_us) % gap_us < STEP_US;
 	}
-	bool is_deadly(uint64_t print) const
+	bool is_deadly(uint64_t fingerprint) const
 	{
-		return print < DEADLY + (uint64_t)case_.deadly;
+		return fingerprint < DEADLY + (uint64_t)case_.deadly;
 	}
 	bool is_falsely_quarantined(const Node &node, uint32_t at) const
 	{
 		return node.table->entries[at].rounds &&
 		       !is_deadly(node.table->keys[at]);
 	}
-	bool is_cut(int region) const
+	bool is_partitioned(int region) const
 	{
-		return case_.cut && region == 0 &&
+		return case_.partition && region == 0 &&
 		       now_us >= START_US + US_PER_S &&
 		       now_us < START_US + 6 * US_PER_S;
 	}
@@ -267,20 +271,20 @@
 	void arrive()
 	{
 		for (int i = 0; i < case_.deadly; i++)
-			if (comes(i))
+			if (arrives_now(i))
 				send({ DEADLY + (uint64_t)i,
 				       (size_t)below(case_.nodes), 0, 0, 0,
 				       false, false, false, 0 });
 		for (size_t i = 0; i < servers_.size(); i++)
 			if (happens(case_.harmless_per_s))
-				send({ next_print_++,
+				send({ next_fingerprint_++,
 				       (size_t)below(case_.nodes), 0, 0, 0,
 				       false, false, false, 0 });
 	}
 	/* As the choice of a server weighs suspects. */
-	Server *pick(const Node &node, const struct suspect_ruling &ruling)
+	Server *pick(const Node &node, const struct suspect_decision &decision)
 	{
-		bool is_suspect = ruling.verdict == SUSPECT_ALONE;
+		bool is_suspect = decision.verdict == SUSPECT_MAY_RUN;
 
 		for (int i = 0; i < 200; i++) {
 			Server &server =
@@ -290,7 +294,7 @@
 				continue;
 			if (!suspect_runs_on(node.table, server.life,
 					     !is_suspect, now_us) ||
-			    (i > 100 && !ruling.apart))
+			    (i > 100 && !decision.apart))
 				return &server;
 		}
 		return nullptr;
@@ -298,55 +302,57 @@
 	void send(Run run)
 	{
 		Node &node = *nodes_[run.node];
-		struct suspect_ruling ruling;
+		struct suspect_decision decision;
 
 		if (node.ready_us > now_us)
 			return;
-		const struct suspect_query query = { run.print,
+		const struct suspect_query query = { run.fingerprint,
 						     (uint32_t)run.node, false,
 						     run.claimed };
-		suspect_rule(node.table, &query, backends_.get(), now_us,
-			     &ruling);
+		suspect_decide(node.table, &query, backends_.get(), now_us,
+			       &decision);
 		run.claimed = false;
-		if (ruling.verdict == SUSPECT_AT_WORK)
+		if (decision.verdict == SUSPECT_RUNNING)
 			retries_.push_back({ now_us + 20 * US_PER_MS, run });
-		if (ruling.verdict == SUSPECT_AT_WORK ||
-		    ruling.verdict == SUSPECT_QUARANTINED)
+		if (decision.verdict == SUSPECT_RUNNING ||
+		    decision.verdict == SUSPECT_QUARANTINED)
 			return;
-		if (ruling.claims) {
-			suspect_claim(node.table, run.print, (uint32_t)run.node,
-				      now_us);
-			hurry(node);
+		if (decision.claims) {
+			suspect_claim(node.table, run.fingerprint,
+				      (uint32_t)run.node, now_us);
+			schedule_broadcast(node);
 			run.claimed = true;
-			retries_.push_back({ now_us + SUSPECT_CLAIM_US, run });
+			retries_.push_back(
+				{ now_us + SUSPECT_CLAIM_WAIT_US, run });
 			return;
 		}
-		Server *server = pick(node, ruling);
+		Server *server = pick(node, decision);
 		if (!server)
 			return;
 		run.sends++;
 		run.began_us = now_us;
-		run.end_us = now_us + (is_deadly(run.print) ?
+		run.end_us = now_us + (is_deadly(run.fingerprint) ?
 					       30 + (uint64_t)below(140) :
 					       500 + (uint64_t)below(500)) *
 					      US_PER_MS;
-		run.noted = ruling.verdict == SUSPECT_ALONE;
+		run.noted = decision.verdict == SUSPECT_MAY_RUN;
 		if (run.noted) {
 			const struct suspect_run noted = {
-				run.print, (uint32_t)run.node, server->life,
-				run.end_us + US_PER_S, ruling.apart
+				run.fingerprint, (uint32_t)run.node,
+				server->life, run.end_us + US_PER_S,
+				decision.apart
 			};
-			suspect_run_begins(node.table, &noted);
-			hurry(node);
+			suspect_begin_run(node.table, &noted);
+			schedule_broadcast(node);
 		}
 		note_late(run);
 		server->runs.push_back(run);
 	}
 	void note_late(const Run &run)
 	{
-		if (!is_deadly(run.print))
+		if (!is_deadly(run.fingerprint))
 			return;
-		Stats &stat = stats[run.print - DEADLY];
+		Stats &stat = stats[run.fingerprint - DEADLY];
 
 		stat.late += stat.third_us && now_us > stat.third_us + US_PER_S;
 	}
@@ -356,8 +362,9 @@
 
 		if (!run.noted)
 			return;
-		suspect_run_ends(node.table, run.print, (uint32_t)run.node);
-		hurry(node);
+		suspect_end_run(node.table, run.fingerprint,
+				(uint32_t)run.node);
+		schedule_broadcast(node);
 	}
 	void end_runs()
 	{
@@ -367,7 +374,7 @@
 
 				if (run.end_us > now_us)
 					continue;
-				if (is_deadly(run.print)) {
+				if (is_deadly(run.fingerprint)) {
 					crash(server, &run);
 					break;
 				}
@@ -382,7 +389,7 @@
 		shared_served += run.shared;
 		if (run.shared)
 			served_after_us.push_back(now_us - run.broke_us);
-		suspect_cleared(nodes_[run.node]->table, run.print, now_us);
+		suspect_clear(nodes_[run.node]->table, run.fingerprint, now_us);
 		end_noted(run);
 	}
 	void crash(Server &server, const Run *deadly)
@@ -391,10 +398,10 @@
 
 		std::swap(runs, server.runs);
 		history_.push_back({ now_us, server.life,
-				     deadly ? deadly->print : 0, runs });
+				     deadly ? deadly->fingerprint : 0, runs });
 		server.back_us = now_us + 3 * US_PER_S;
 		if (deadly) {
-			Stats &stat = stats[deadly->print - DEADLY];
+			Stats &stat = stats[deadly->fingerprint - DEADLY];
 
 			if (++stat.crashes == 3)
 				stat.third_us = now_us;
@@ -411,12 +418,12 @@
 		const struct suspect_crash crash = { server.life, 0, now_us,
 						     now_us - run.began_us };
 
-		if (suspect_crashed(node.table, run.print, backends_.get(),
-				    &crash, ""))
-			hurry(node);
+		if (suspect_add_own_crash(node.table, run.fingerprint,
+					  backends_.get(), &crash, ""))
+			schedule_broadcast(node);
 		end_noted(run);
-		keep(node, run.print);
-		if (!is_deadly(run.print) && !run.shared)
+		store_quarantine(node, run.fingerprint);
+		if (!is_deadly(run.fingerprint) && !run.shared)
 			shared++;
 		if (!run.shared)
 			run.broke_us = now_us;
@@ -457,64 +464,65 @@
 
 	/* --- words ------------------------------------------------------ */
 
-	void hurry(Node &node)
+	void schedule_broadcast(Node &node)
 	{
-		if (!node.urgent_us)
-			node.urgent_us = now_us + 5 * US_PER_MS;
+		if (!node.broadcast_at_us)
+			node.broadcast_at_us = now_us + 5 * US_PER_MS;
 	}
-	void post(size_t from, size_t to, const struct suspect_word &word)
+	void post(size_t from, size_t to, const struct suspect_update &update)
 	{
 		bool far = nodes_[from]->region != nodes_[to]->region;
 
 		if (std::uniform_real_distribution<>(0, 1)(random_) < LOSS)
 			return;
-		if (far && (is_cut(nodes_[from]->region) ||
-			    is_cut(nodes_[to]->region)))
+		if (far && (is_partitioned(nodes_[from]->region) ||
+			    is_partitioned(nodes_[to]->region)))
 			return;
 		posted_.insert({ now_us + (far ? FAR_US : NEAR_US),
-				 { to, (uint32_t)from, word } });
+				 { to, (uint32_t)from, update } });
 	}
-	void tell()
+	void send_updates()
 	{
 		for (size_t i = 0; i < nodes_.size(); i++) {
 			Node &node = *nodes_[i];
 
-			if (node.urgent_us && node.urgent_us <= now_us)
-				tell_all(i);
+			if (node.broadcast_at_us &&
+			    node.broadcast_at_us <= now_us)
+				broadcast(i);
 			if (node.beat_us <= now_us)
 				beat(i);
 		}
 	}
-	void tell_all(size_t from)
+	void broadcast(size_t from)
 	{
 		Node &node = *nodes_[from];
-		struct suspect_word words[10];
-		uint32_t count = suspect_urgent_words(
-			node.table, (uint32_t)from, now_us, words, 10);
+		struct suspect_update updates[10];
+		uint32_t count = suspect_collect_broadcast(
+			node.table, (uint32_t)from, now_us, updates, 10);
 
 		for (size_t to = 0; to < nodes_.size(); to++)
 			for (uint32_t i = 0; to != from && i < count; i++)
-				post(from, to, words[i]);
-		node.urgent_us = suspect_is_urgent(node.table) ?
-					 now_us + 40 * US_PER_MS :
-					 0;
+				post(from, to, updates[i]);
+		node.broadcast_at_us = suspect_has_broadcast(node.table) ?
+					       now_us + 40 * US_PER_MS :
+					       0;
 	}
 	void beat(size_t from)
 	{
 		Node &node = *nodes_[from];
-		struct suspect_word words[4];
-		uint32_t count = suspect_words(node.table, (uint32_t)from,
-					       now_us, words, 4);
+		struct suspect_update updates[4];
+		uint32_t count = suspect_collect_updates(
+			node.table, (uint32_t)from, now_us, updates, 4);
 
 		node.beat_us = now_us + 400 * US_PER_MS;
 		drop_rows(node);
 		if (node.ready_us > now_us)
-			tell_starting(from);
-		for (int i = 0; count && i < NEAR_DRAWN + 2 * FAR_DRAWN; i++) {
+			update_starting_node(from);
+		for (int i = 0; count && i < NEAR_PEERS + 2 * FAR_PEERS; i++) {
 			size_t to = (size_t)below((int)nodes_.size());
 
 			for (uint32_t j = 0; to != from && j < count; j++)
-				post(from, to, words[j]);
+				post(from, to, updates[j]);
 		}
 	}
 	void deliver()
@@ -522,34 +530,36 @@
 		for (auto at = posted_.begin();
 		     at != posted_.end() && at->first <= now_us;
 		     at = posted_.erase(at)) {
-			const Word &word = at->second;
+			const Update &update = at->second;
 
-			EXPECT_TRUE(suspect_take(nodes_[word.to]->table,
-						 &word.word, word.from,
-						 backends_.get(), now_us));
-			keep(*nodes_[word.to], word.word.fingerprint);
+			EXPECT_TRUE(suspect_apply_update(
+				nodes_[update.to]->table, &update.update,
+				update.from, backends_.get(), now_us));
+			store_quarantine(*nodes_[update.to],
+					 update.update.fingerprint);
 		}
 	}
 
 	/* --- the store -------------------------------------------------- */
 
-	void keep(const Node &node, uint64_t print)
+	void store_quarantine(const Node &node, uint64_t fingerprint)
 	{
 		const struct suspect *suspect =
-			suspect_table_find(node.table, print);
+			suspect_table_find(node.table, fingerprint);
 
-		if (suspect && suspect->rounds && suspect->seen_here)
-			kept_.insert(print);
+		if (suspect && suspect->rounds && suspect->seen_locally)
+			stored_.insert(fingerprint);
 	}
 	/* A request that is no longer quarantined loses its row. */
 	void drop_rows(const Node &node)
 	{
-		for (auto at = kept_.begin(); at != kept_.end();) {
+		for (auto at = stored_.begin(); at != stored_.end();) {
 			const struct suspect *suspect =
 				suspect_table_find(node.table, *at);
 
-			if (suspect && !suspect->rounds && suspect->seen_here)
-				at = kept_.erase(at);
+			if (suspect && !suspect->rounds &&
+			    suspect->seen_locally)
+				at = stored_.erase(at);
 			else
 				at++;
 		}
@@ -577,24 +587,24 @@
 				       (uint64_t)below(400) * US_PER_MS;
 			node.ready_us = now_us + US_PER_S +
 					(is_reader(i) ? 300 : 700) * US_PER_MS;
-			for (uint64_t print : kept_)
+			for (uint64_t fingerprint : stored_)
 				if (is_reader(i))
-					suspect_quarantine(node.table, print,
-							   now_us);
+					suspect_quarantine(node.table,
+							   fingerprint, now_us);
 		}
 	}
 	/* As a reader answers a beat of a node that isn't ready. */
-	void tell_starting(size_t to)
+	void update_starting_node(size_t to)
 	{
-		struct suspect_word words[10];
+		struct suspect_update updates[10];
 
 		for (size_t from = 0; is_reader(from); from++) {
-			uint32_t count = suspect_words(nodes_[from]->table,
-						       (uint32_t)from, now_us,
-						       words, 10);
+			uint32_t count = suspect_collect_updates(
+				nodes_[from]->table, (uint32_t)from, now_us,
+				updates, 10);
 
 			for (uint32_t i = 0; from != to && i < count; i++)
-				post(from, to, words[i]);
+				post(from, to, updates[i]);
 		}
 	}
 
@@ -612,12 +622,12 @@
 	std::vector<std::unique_ptr<Node>> nodes_;
 	std::vector<Server> servers_;
 	std::vector<Retry> retries_;
-	std::multimap<uint64_t, Word> posted_; /* by when they arrive */
+	std::multimap<uint64_t, Update> posted_; /* by when they arrive */
 	std::vector<Crash> history_;
-	std::set<uint64_t> kept_;
+	std::set<uint64_t> stored_;
 	bool ending_ = false;
 	uint32_t next_life_ = 1;
-	uint64_t next_print_ = 1000;
+	uint64_t next_fingerprint_ = 1000;
 };
 
 #endif
--- a/tests/core/suspect_fleet_test.cc
+++ b/tests/core/suspect_fleet_test.cc
@@ -54,8 +54,8 @@
 void expect_bounds(Fleet &fleet, const fleet_case &c)
 {
 	for (const Fleet::Stats &stat : fleet.stats) {
-		EXPECT_GE(c.most_crashes, stat.crashes);
-		EXPECT_GE(c.most_late, stat.late);
+		EXPECT_GE(c.max_crashes, stat.crashes);
+		EXPECT_GE(c.max_late_runs, stat.late);
 	}
 	EXPECT_EQ(0u, fleet.quarantined_falsely());
 }
@@ -77,7 +77,7 @@
 	for (unsigned seed = first; seed < first + seeds; seed++) {
 		Fleet fleet(c, seed);
 
-		fleet.play(Fleet::START_US + PLAY_US);
+		fleet.run_until(Fleet::START_US + PLAY_US);
 		SCOPED_TRACE("seed " + std::to_string(seed) + "\n" +
 			     fleet.wrong_history());
 		expect_bounds(fleet, c);
@@ -126,7 +126,7 @@
 	while (c->name != GetParam().fleet)
 		c++;
 	Fleet fleet(*c, GetParam().seed);
-	fleet.play(Fleet::START_US + PLAY_US);
+	fleet.run_until(Fleet::START_US + PLAY_US);
 	SCOPED_TRACE(fleet.wrong_history());
 	expect_bounds(fleet, *c);
 }
--- a/tests/core/suspect_table_test.cc
+++ b/tests/core/suspect_table_test.cc
@@ -9,7 +9,7 @@
 namespace
 {
 
-const uint64_t PRINT = 0x5eed;
+const uint64_t FINGERPRINT = 0x5eed;
 const uint32_t SELF = 1;
 const uint32_t OTHER = 2;
 
@@ -29,39 +29,39 @@
 	}
 	/* The server of this life ends; the request had been there for 100 ms.
 	 */
-	bool crash(uint32_t life, uint64_t print = PRINT)
+	bool crash(uint32_t life, uint64_t fingerprint = FINGERPRINT)
 	{
 		const struct suspect_crash crash = { life, 0, now_us,
 						     100 * US_PER_MS };
 
-		return suspect_crashed(table, print, backends, &crash,
-				       "GET /r/x");
+		return suspect_add_own_crash(table, fingerprint, backends,
+					     &crash, "GET /r/x");
 	}
 	/* So many servers end, one after another. */
-	void crash_times(int count, uint64_t print = PRINT)
+	void crash_times(int count, uint64_t fingerprint = FINGERPRINT)
 	{
 		for (int i = 0; i < count; i++) {
 			now_us += US_PER_S;
-			crash(next_life++, print);
+			crash(next_life++, fingerprint);
 		}
 	}
-	struct suspect_ruling rule(uint64_t print = PRINT,
-				   bool is_prober = false,
-				   bool has_claimed = false)
+	struct suspect_decision decide(uint64_t fingerprint = FINGERPRINT,
+				       bool is_prober = false,
+				       bool has_claimed = false)
 	{
-		const struct suspect_query query = { print, SELF, is_prober,
-						     has_claimed };
-		struct suspect_ruling ruling;
+		const struct suspect_query query = { fingerprint, SELF,
+						     is_prober, has_claimed };
+		struct suspect_decision decision;
 
-		suspect_rule(table, &query, backends, now_us, &ruling);
-		return ruling;
+		suspect_decide(table, &query, backends, now_us, &decision);
+		return decision;
 	}
-	std::vector<struct suspect_word> words()
+	std::vector<struct suspect_update> updates()
 	{
-		std::vector<struct suspect_word> all(SUSPECTS_MOST);
+		std::vector<struct suspect_update> all(SUSPECT_MAX_ENTRIES);
 
-		all.resize(suspect_words(table, SELF, now_us, all.data(),
-					 SUSPECTS_MOST));
+		all.resize(suspect_collect_updates(
+			table, SELF, now_us, all.data(), SUSPECT_MAX_ENTRIES));
 		return all;
 	}
 	struct backend *add_backend(const char *id)
@@ -91,46 +91,47 @@
 
 const count_case count_cases[] = {
 	{ "None", 0, SUSPECT_NONE, false },
-	{ "One", 1, SUSPECT_ALONE, false },
-	{ "Two", 2, SUSPECT_ALONE, true },
+	{ "One", 1, SUSPECT_MAY_RUN, false },
+	{ "Two", 2, SUSPECT_MAY_RUN, true },
 	{ "Three", 3, SUSPECT_QUARANTINED, false },
 	{ "Four", 4, SUSPECT_QUARANTINED, false },
 };
 
-class CountTest : public SuspectTest,
-		  public ::testing::WithParamInterface<count_case>
+class CrashCountTest : public SuspectTest,
+		       public ::testing::WithParamInterface<count_case>
 {
 };
 
-TEST_P(CountTest, OfCrashesDecides)
+TEST_P(CrashCountTest, DecidesTheVerdict)
 {
 	crash_times(GetParam().crashes);
-	EXPECT_EQ(GetParam().verdict, rule().verdict);
-	EXPECT_EQ(GetParam().apart, rule().apart);
-	EXPECT_EQ(SUSPECT_NONE, rule(PRINT + 1).verdict);
+	EXPECT_EQ(GetParam().verdict, decide().verdict);
+	EXPECT_EQ(GetParam().apart, decide().apart);
+	EXPECT_EQ(SUSPECT_NONE, decide(FINGERPRINT + 1).verdict);
 }
 
-INSTANTIATE_TEST_SUITE_P(Cases, CountTest, ::testing::ValuesIn(count_cases),
+INSTANTIATE_TEST_SUITE_P(Cases, CrashCountTest,
+			 ::testing::ValuesIn(count_cases),
 			 [](const auto &info) { return info.param.name; });
 
 /* Guards against a report that comes twice being counted twice. */
-TEST_F(SuspectTest, AServerEndsOnce)
+TEST_F(SuspectTest, RepeatedCrashReportCountsOnce)
 {
 	for (int i = 0; i < 5; i++) {
 		now_us += US_PER_S;
 		EXPECT_EQ(i == 0, crash(7));
 	}
-	EXPECT_EQ(SUSPECT_ALONE, rule().verdict);
+	EXPECT_EQ(SUSPECT_MAY_RUN, decide().verdict);
 }
 
 /* Guards against a domain's loss of power counting as a crash a server. */
-TEST_F(SuspectTest, EndsAtOneMomentAreOne)
+TEST_F(SuspectTest, SimultaneousCrashesDontQuarantine)
 {
 	for (uint32_t life = 1; life <= 8; life++) {
 		now_us += 5 * US_PER_MS;
 		crash(life);
 	}
-	EXPECT_EQ(SUSPECT_ALONE, rule().verdict);
+	EXPECT_EQ(SUSPECT_MAY_RUN, decide().verdict);
 }
 
 struct domain_case {
@@ -155,17 +156,18 @@
 		   public ::testing::WithParamInterface<domain_case>
 {
       protected:
-	void end(uint32_t life, uint64_t print)
+	void end(uint32_t life, uint64_t fingerprint)
 	{
 		const struct suspect_crash crash = { life, 0, now_us,
 						     5 * US_PER_MS };
 
-		suspect_crashed(table, print, backends, &crash, "GET /r/x");
+		suspect_add_own_crash(table, fingerprint, backends, &crash,
+				      "GET /r/x");
 	}
 };
 
 /* Guards against a domain's loss of power that no node sees whole by itself. */
-TEST_P(DomainTest, ServersThatEndTogetherSpeakAgainstNobody)
+TEST_P(DomainTest, DomainOutageCountsAgainstNoRequest)
 {
 	const domain_case &c = GetParam();
 	const uint64_t culprit = 77;
@@ -185,7 +187,8 @@
 
 	EXPECT_EQ(1u, last->crash_count);
 	EXPECT_EQ(c.counted, last->counted);
-	EXPECT_EQ(c.has_culprit, rule(culprit).verdict == SUSPECT_QUARANTINED);
+	EXPECT_EQ(c.has_culprit,
+		  decide(culprit).verdict == SUSPECT_QUARANTINED);
 	now_us += US_PER_S;
 	for (int i = 0; i < 2; i++)
 		crash(next_life++, last->fingerprint);
@@ -196,7 +199,7 @@
 			 [](const auto &info) { return info.param.name; });
 
 /* Guards against such ends counting once the list forgets the servers. */
-TEST_F(SuspectTest, ServersThatLeftTheListEndedTogetherAllTheSame)
+TEST_F(SuspectTest, DomainOutageIsKnownAfterServersLeftTheList)
 {
 	std::vector<std::string> ids = { "i-1", "i-2", "i-3" };
 
@@ -205,47 +208,48 @@
 	for (const std::string &id : ids)
 		backend_table_remove(backends, id.c_str(), 0, 0, now_us);
 	now_us += US_PER_S;
-	EXPECT_EQ(SUSPECT_NONE, rule((uint64_t)'1').verdict);
+	EXPECT_EQ(SUSPECT_NONE, decide((uint64_t)'1').verdict);
 }
 
 /* Guards against a request that crashes at once passing for one cause. */
-TEST_F(SuspectTest, ARunThatBeganAfterAnEndIsAnother)
+TEST_F(SuspectTest, RunStartedAfterACrashCountsSeparately)
 {
 	for (uint32_t life = 1; life <= 3; life++) {
 		const struct suspect_crash crash = { life, 0, now_us,
 						     2 * US_PER_MS };
 
-		suspect_crashed(table, PRINT, backends, &crash, "GET /r/x");
+		suspect_add_own_crash(table, FINGERPRINT, backends, &crash,
+				      "GET /r/x");
 		now_us += 10 * US_PER_MS;
 	}
-	EXPECT_EQ(SUSPECT_QUARANTINED, rule().verdict);
+	EXPECT_EQ(SUSPECT_QUARANTINED, decide().verdict);
 }
 
 /* Guards against a request that shared servers with one that crashes them. */
-TEST_F(SuspectTest, AnAnswerClears)
+TEST_F(SuspectTest, AnswerClearsEarlierCrashes)
 {
 	crash_times(2);
-	suspect_cleared(table, PRINT, now_us);
-	EXPECT_EQ(SUSPECT_NONE, rule().verdict);
+	suspect_clear(table, FINGERPRINT, now_us);
+	EXPECT_EQ(SUSPECT_NONE, decide().verdict);
 	crash_times(2);
-	EXPECT_EQ(SUSPECT_ALONE, rule().verdict);
+	EXPECT_EQ(SUSPECT_MAY_RUN, decide().verdict);
 }
 
 /* Guards against a crash that is noticed late outliving the answer after it. */
-TEST_F(SuspectTest, ACrashFromBeforeAnAnswerIsNone)
+TEST_F(SuspectTest, CrashBeforeAnAnswerIsIgnored)
 {
 	crash_times(1);
 	const struct suspect_crash late = { next_life++, 0, now_us - US_PER_S,
 					    100 * US_PER_MS };
 
-	suspect_cleared(table, PRINT, now_us);
-	EXPECT_FALSE(
-		suspect_crashed(table, PRINT, backends, &late, "GET /r/x"));
-	EXPECT_EQ(0u, suspect_table_find(table, PRINT)->crash_count);
+	suspect_clear(table, FINGERPRINT, now_us);
+	EXPECT_FALSE(suspect_add_own_crash(table, FINGERPRINT, backends, &late,
+					   "GET /r/x"));
+	EXPECT_EQ(0u, suspect_table_find(table, FINGERPRINT)->crash_count);
 }
 
 /* Guards against connections that were reset passing for servers that ended. */
-TEST_F(SuspectTest, AServerThatAnswersLaterDidNotEnd)
+TEST_F(SuspectTest, ServerThatAnswersLaterDidNotCrash)
 {
 	for (const char *id : { "i-1", "i-2", "i-3" }) {
 		struct backend *backend = add_backend(id);
@@ -253,15 +257,15 @@
 		now_us += US_PER_S;
 		crash(backend->life);
 	}
-	EXPECT_EQ(SUSPECT_QUARANTINED, rule().verdict);
+	EXPECT_EQ(SUSPECT_QUARANTINED, decide().verdict);
 	now_us += US_PER_S;
 	backend_answered(backend_table_find(backends, "i-2"),
 			 now_us - 100 * US_PER_MS);
-	EXPECT_EQ(SUSPECT_ALONE, rule().verdict);
+	EXPECT_EQ(SUSPECT_MAY_RUN, decide().verdict);
 }
 
 /* Guards against a new start under an old id clearing what ended the old. */
-TEST_F(SuspectTest, AServerThatRefusedConnectionsEnded)
+TEST_F(SuspectTest, ServerThatRefusedConnectionsCrashed)
 {
 	struct backend *backend = add_backend("i-1");
 
@@ -270,91 +274,94 @@
 	backend_unreachable(backends, backend, now_us);
 	backend_answered(backend, now_us + US_PER_S);
 	now_us += 2 * US_PER_S;
-	EXPECT_EQ(SUSPECT_ALONE, rule().verdict);
+	EXPECT_EQ(SUSPECT_MAY_RUN, decide().verdict);
 }
 
 TEST_F(SuspectTest, RunsOnceAtATime)
 {
-	struct suspect_run run = { PRINT, SELF, 50, 0, true };
+	struct suspect_run run = { FINGERPRINT, SELF, 50, 0, true };
 
 	crash_times(1);
 	run.until_us = now_us + 5 * US_PER_S;
-	suspect_run_begins(table, &run);
-	EXPECT_EQ(SUSPECT_AT_WORK, rule().verdict);
+	suspect_begin_run(table, &run);
+	EXPECT_EQ(SUSPECT_RUNNING, decide().verdict);
 	EXPECT_TRUE(suspect_runs_on(table, 50, true, now_us));
 	EXPECT_FALSE(suspect_runs_on(table, 51, false, now_us));
-	suspect_run_ends(table, PRINT, OTHER);
-	EXPECT_EQ(SUSPECT_AT_WORK, rule().verdict);
-	suspect_run_ends(table, PRINT, SELF);
-	EXPECT_EQ(SUSPECT_ALONE, rule().verdict);
+	suspect_end_run(table, FINGERPRINT, OTHER);
+	EXPECT_EQ(SUSPECT_RUNNING, decide().verdict);
+	suspect_end_run(table, FINGERPRINT, SELF);
+	EXPECT_EQ(SUSPECT_MAY_RUN, decide().verdict);
 }
 
 /* Guards against a node that dies while it runs a suspect blocking it. */
-TEST_F(SuspectTest, ARunEndsWithItsTime)
+TEST_F(SuspectTest, RunExpires)
 {
 	crash_times(1);
-	const struct suspect_run run = { PRINT, OTHER, 50, now_us + US_PER_S,
-					 false };
+	const struct suspect_run run = { FINGERPRINT, OTHER, 50,
+					 now_us + US_PER_S, false };
 
-	suspect_run_begins(table, &run);
+	suspect_begin_run(table, &run);
 	now_us += US_PER_S;
-	EXPECT_EQ(SUSPECT_ALONE, rule().verdict);
+	EXPECT_EQ(SUSPECT_MAY_RUN, decide().verdict);
 }
 
-TEST_F(SuspectTest, OneNodeTriesAfterAQuarantineAndDoublesIt)
+TEST_F(SuspectTest, OneNodeRetriesAfterQuarantineAndACrashDoublesIt)
 {
 	uint64_t last_us = 0;
 
 	crash_times(3);
 	for (int i = 0; i < 3; i++) {
-		uint64_t left_us = rule(PRINT, true).left_us;
+		uint64_t left_us = decide(FINGERPRINT, true).left_us;
 
 		EXPECT_LT(1.9 * last_us, left_us);
 		last_us = left_us;
 		now_us += left_us;
-		EXPECT_EQ(SUSPECT_QUARANTINED, rule(PRINT, false).verdict);
-		EXPECT_EQ(SUSPECT_ALONE, rule(PRINT, true).verdict);
-		EXPECT_TRUE(rule(PRINT, true).apart);
+		EXPECT_EQ(SUSPECT_QUARANTINED,
+			  decide(FINGERPRINT, false).verdict);
+		EXPECT_EQ(SUSPECT_MAY_RUN, decide(FINGERPRINT, true).verdict);
+		EXPECT_TRUE(decide(FINGERPRINT, true).apart);
 		crash(next_life++);
-		EXPECT_EQ(SUSPECT_QUARANTINED, rule(PRINT, true).verdict);
+		EXPECT_EQ(SUSPECT_QUARANTINED,
+			  decide(FINGERPRINT, true).verdict);
 	}
-	now_us += rule(PRINT, true).left_us;
-	suspect_cleared(table, PRINT, now_us);
-	EXPECT_EQ(SUSPECT_NONE, rule(PRINT, false).verdict);
+	now_us += decide(FINGERPRINT, true).left_us;
+	suspect_clear(table, FINGERPRINT, now_us);
+	EXPECT_EQ(SUSPECT_NONE, decide(FINGERPRINT, false).verdict);
 }
 
 /* Guards against memory and quarantines being taken by a flood of suspects. */
-TEST_F(SuspectTest, AFloodPushesOutNoQuarantinedRequest)
+TEST_F(SuspectTest, FullTableEvictsNoQuarantinedRequest)
 {
 	crash_times(3);
-	for (uint64_t print = 1; print < 5 * SUSPECTS_MOST; print++) {
+	for (uint64_t fingerprint = 1; fingerprint < 5 * SUSPECT_MAX_ENTRIES;
+	     fingerprint++) {
 		now_us += US_PER_MS;
-		crash(next_life++, print << 32);
+		crash(next_life++, fingerprint << 32);
 	}
-	EXPECT_EQ(SUSPECT_QUARANTINED, rule().verdict);
-	EXPECT_EQ((uint32_t)SUSPECTS_MOST, table->count);
+	EXPECT_EQ(SUSPECT_QUARANTINED, decide().verdict);
+	EXPECT_EQ((uint32_t)SUSPECT_MAX_ENTRIES, table->count);
 	EXPECT_GE(128u * 1024, sizeof(*table));
 }
 
 TEST_F(SuspectTest, OperatorsQuarantineAndRelease)
 {
-	EXPECT_FALSE(suspect_release(table, PRINT, now_us));
-	EXPECT_TRUE(suspect_quarantine(table, PRINT, now_us));
-	EXPECT_EQ(SUSPECT_QUARANTINED, rule().verdict);
+	EXPECT_FALSE(suspect_release(table, FINGERPRINT, now_us));
+	EXPECT_TRUE(suspect_quarantine(table, FINGERPRINT, now_us));
+	EXPECT_EQ(SUSPECT_QUARANTINED, decide().verdict);
 	now_us += US_PER_S;
-	EXPECT_TRUE(suspect_release(table, PRINT, now_us));
-	EXPECT_EQ(SUSPECT_NONE, rule().verdict);
+	EXPECT_TRUE(suspect_release(table, FINGERPRINT, now_us));
+	EXPECT_EQ(SUSPECT_NONE, decide().verdict);
 }
 
-TEST_F(SuspectTest, IsForgottenAfterLong)
+TEST_F(SuspectTest, EntryExpires)
 {
 	crash_times(1);
-	now_us += SUSPECT_KEEP_US;
+	now_us += SUSPECT_TTL_US;
 	suspect_table_expire(table, now_us);
 	EXPECT_EQ(0u, table->count);
 }
 
-struct judge_case {
+struct attribution_case {
 	const char *name;
 	/* Lives that ended under each, in order; 0: none. */
 	uint32_t beside[5];
@@ -365,7 +372,7 @@
 	bool other_is_quarantined;
 };
 
-const judge_case judge_cases[] = {
+const attribution_case attribution_cases[] = {
 	{ "Alone", {}, { 1, 2, 3 }, {}, false, true, false },
 	{ "BesideTwice", { 1, 2 }, { 1, 2, 3 }, {}, false, true, false },
 	{ "BesideEachTime", { 1, 2, 3 }, { 1, 2, 3 }, {}, false, false, false },
@@ -394,61 +401,62 @@
 	  true },
 };
 
-class JudgeTest : public SuspectTest,
-		  public ::testing::WithParamInterface<judge_case>
+class AttributionTest : public SuspectTest,
+			public ::testing::WithParamInterface<attribution_case>
 {
       protected:
-	bool is_quarantined(uint64_t print)
+	bool is_quarantined(uint64_t fingerprint)
 	{
-		return rule(print).verdict == SUSPECT_QUARANTINED;
+		return decide(fingerprint).verdict == SUSPECT_QUARANTINED;
 	}
 };
 
 /* Guards against one that stood beside the culprit being taken for it. */
-TEST_P(JudgeTest, CrashesOfItsOwnTellTheCulprit)
+TEST_P(AttributionTest, ExclusiveCrashesIdentifyTheCause)
 {
-	const judge_case &c = GetParam();
+	const attribution_case &c = GetParam();
 
 	for (uint32_t life = 1; life < 10; life++) {
 		now_us += US_PER_S;
 		for (int i = 0; i < 5; i++) {
 			if (c.beside[i] == life)
-				crash(life, PRINT);
+				crash(life, FINGERPRINT);
 			if (c.deadly[i] == life)
-				crash(life, PRINT + 1);
+				crash(life, FINGERPRINT + 1);
 			if (c.other[i] == life)
-				crash(life, PRINT + 2);
+				crash(life, FINGERPRINT + 2);
 		}
 	}
-	EXPECT_EQ(c.beside_is_quarantined, is_quarantined(PRINT));
-	EXPECT_EQ(c.deadly_is_quarantined, is_quarantined(PRINT + 1));
-	EXPECT_EQ(c.other_is_quarantined, is_quarantined(PRINT + 2));
+	EXPECT_EQ(c.beside_is_quarantined, is_quarantined(FINGERPRINT));
+	EXPECT_EQ(c.deadly_is_quarantined, is_quarantined(FINGERPRINT + 1));
+	EXPECT_EQ(c.other_is_quarantined, is_quarantined(FINGERPRINT + 2));
 }
 
-INSTANTIATE_TEST_SUITE_P(Cases, JudgeTest, ::testing::ValuesIn(judge_cases),
+INSTANTIATE_TEST_SUITE_P(Cases, AttributionTest,
+			 ::testing::ValuesIn(attribution_cases),
 			 [](const auto &info) { return info.param.name; });
 
 /* Guards against an innocent one that hides the culprit after its answer. */
-TEST_F(SuspectTest, AnAnswerTellsWhoseTheCrashesWere)
+TEST_F(SuspectTest, AnswerLeavesTheCrashesToTheOtherRequest)
 {
 	for (uint32_t life = 1; life <= 3; life++) {
 		now_us += US_PER_S;
-		crash(life, PRINT);
-		crash(life, PRINT + 1);
-	}
-	EXPECT_EQ(SUSPECT_ALONE, rule(PRINT).verdict);
-	EXPECT_EQ(SUSPECT_ALONE, rule(PRINT + 1).verdict);
-	suspect_cleared(table, PRINT, now_us);
-	EXPECT_EQ(SUSPECT_NONE, rule(PRINT).verdict);
-	EXPECT_EQ(SUSPECT_QUARANTINED, rule(PRINT + 1).verdict);
+		crash(life, FINGERPRINT);
+		crash(life, FINGERPRINT + 1);
+	}
+	EXPECT_EQ(SUSPECT_MAY_RUN, decide(FINGERPRINT).verdict);
+	EXPECT_EQ(SUSPECT_MAY_RUN, decide(FINGERPRINT + 1).verdict);
+	suspect_clear(table, FINGERPRINT, now_us);
+	EXPECT_EQ(SUSPECT_NONE, decide(FINGERPRINT).verdict);
+	EXPECT_EQ(SUSPECT_QUARANTINED, decide(FINGERPRINT + 1).verdict);
 }
 
 /* --- claims ------------------------------------------------------------- */
 
 /* A node that wants to run a request that two servers ended under. */
-struct Claimer {
+struct ClaimingNode {
 	uint32_t node;
-	uint64_t print;
+	uint64_t fingerprint;
 	uint64_t comes_us;
 	struct suspect_table *table = nullptr;
 	bool has_claimed = false;
@@ -458,22 +466,23 @@
 };
 
 /* Such nodes with words between them, and servers 1 to 9. */
-class ClaimWorld
+class ClaimSimulation
 {
       public:
-	ClaimWorld(const std::vector<Claimer> &claimers, uint64_t word_us)
-	    : claimers(claimers), word_us_(word_us)
+	ClaimSimulation(const std::vector<ClaimingNode> &claimers,
+			uint64_t update_us)
+	    : claimers(claimers), update_us_(update_us)
 	{
-		for (Claimer &claimer : this->claimers) {
+		for (ClaimingNode &claimer : this->claimers) {
 			claimer.table = suspect_table_new();
 			claimer.next_us = START_US + claimer.comes_us;
-			for (const Claimer &other : claimers)
-				crash_twice(claimer.table, other.print);
+			for (const ClaimingNode &other : claimers)
+				crash_twice(claimer.table, other.fingerprint);
 		}
 	}
-	~ClaimWorld()
+	~ClaimSimulation()
 	{
-		for (Claimer &claimer : claimers)
+		for (ClaimingNode &claimer : claimers)
 			suspect_table_free(claimer.table);
 		backend_table_free(backends_);
 	}
@@ -481,7 +490,7 @@
 	{
 		for (; now_us_ < START_US + US_PER_S; now_us_ += US_PER_MS) {
 			deliver();
-			for (Claimer &claimer : claimers)
+			for (ClaimingNode &claimer : claimers)
 				if (claimer.next_us <= now_us_ &&
 				    !claimer.began_us)
 					step(claimer);
@@ -492,99 +501,101 @@
 	{
 		int count = 0;
 
-		for (const Claimer &a : claimers)
-			for (const Claimer &b : claimers)
-				count += &a != &b && a.print == b.print &&
+		for (const ClaimingNode &a : claimers)
+			for (const ClaimingNode &b : claimers)
+				count += &a != &b &&
+					 a.fingerprint == b.fingerprint &&
 					 a.began_us && b.began_us &&
 					 b.began_us >= a.began_us &&
 					 b.began_us < a.began_us + RUN_US;
 		return count;
 	}
-	std::vector<Claimer> claimers;
+	std::vector<ClaimingNode> claimers;
 
       private:
 	struct Posted {
 		uint64_t at_us;
 		uint32_t from;
-		struct suspect_word word;
+		struct suspect_update update;
 	};
 	static const uint64_t START_US = 1000 * US_PER_S;
 	static const uint64_t RUN_US = 300 * US_PER_MS;
 	static const uint64_t LOOK_US = 20 * US_PER_MS;
 
-	void crash_twice(struct suspect_table *table, uint64_t print)
+	void crash_twice(struct suspect_table *table, uint64_t fingerprint)
 	{
 		for (uint32_t i = 1; i <= 2; i++) {
 			const struct suspect_crash crash = {
-				(uint32_t)print * 100 + i, 0,
+				(uint32_t)fingerprint * 100 + i, 0,
 				START_US - i * US_PER_S, US_PER_MS
 			};
 
-			suspect_crashed(table, print, backends_, &crash, "");
+			suspect_add_own_crash(table, fingerprint, backends_,
+					      &crash, "");
 		}
 	}
-	void step(Claimer &claimer)
+	void step(ClaimingNode &claimer)
 	{
-		const struct suspect_query query = { claimer.print,
+		const struct suspect_query query = { claimer.fingerprint,
 						     claimer.node, false,
 						     claimer.has_claimed };
-		struct suspect_ruling ruling;
+		struct suspect_decision decision;
 
-		suspect_rule(claimer.table, &query, backends_, now_us_,
-			     &ruling);
+		suspect_decide(claimer.table, &query, backends_, now_us_,
+			       &decision);
 		claimer.has_claimed = false;
 		claimer.next_us = now_us_ + LOOK_US;
-		if (ruling.verdict != SUSPECT_ALONE)
+		if (decision.verdict != SUSPECT_MAY_RUN)
 			return;
-		if (ruling.claims)
+		if (decision.claims)
 			claim(claimer);
 		else
 			run(claimer);
 		post(claimer);
 	}
-	void claim(Claimer &claimer)
+	void claim(ClaimingNode &claimer)
 	{
-		suspect_claim(claimer.table, claimer.print, claimer.node,
+		suspect_claim(claimer.table, claimer.fingerprint, claimer.node,
 			      now_us_);
 		claimer.has_claimed = true;
-		claimer.next_us = now_us_ + SUSPECT_CLAIM_US;
+		claimer.next_us = now_us_ + SUSPECT_CLAIM_WAIT_US;
 	}
 	/* At the first server at which it knows of no suspect. */
-	void run(Claimer &claimer)
+	void run(ClaimingNode &claimer)
 	{
 		claimer.began_us = now_us_;
 		claimer.life = 1;
 		while (suspect_runs_on(claimer.table, claimer.life, false,
 				       now_us_))
 			claimer.life++;
-		const struct suspect_run run = { claimer.print, claimer.node,
-						 claimer.life, now_us_ + RUN_US,
-						 true };
+		const struct suspect_run run = { claimer.fingerprint,
+						 claimer.node, claimer.life,
+						 now_us_ + RUN_US, true };
 
-		suspect_run_begins(claimer.table, &run);
+		suspect_begin_run(claimer.table, &run);
 	}
-	void post(const Claimer &claimer)
+	void post(const ClaimingNode &claimer)
 	{
-		struct suspect_word words[4];
-		uint32_t count = suspect_urgent_words(
-			claimer.table, claimer.node, now_us_, words, 4);
+		struct suspect_update updates[4];
+		uint32_t count = suspect_collect_broadcast(
+			claimer.table, claimer.node, now_us_, updates, 4);
 
 		for (uint32_t i = 0; i < count; i++)
-			posted_.push_back(
-				{ now_us_ + word_us_, claimer.node, words[i] });
+			posted_.push_back({ now_us_ + update_us_, claimer.node,
+					    updates[i] });
 	}
 	void deliver()
 	{
 		for (const Posted &one : posted_)
-			for (Claimer &claimer : claimers)
+			for (ClaimingNode &claimer : claimers)
 				if (one.at_us == now_us_ &&
 				    claimer.node != one.from)
-					suspect_take(claimer.table, &one.word,
-						     one.from, backends_,
-						     now_us_);
+					suspect_apply_update(
+						claimer.table, &one.update,
+						one.from, backends_, now_us_);
 	}
 
-	uint64_t word_us_;
+	uint64_t update_us_;
 	uint64_t now_us_ = START_US;
 	struct backend_table *backends_ = backend_table_new();
 	std::vector<Posted> posted_;
@@ -593,7 +604,7 @@
 struct claim_case {
 	const char *name;
 	uint64_t second_node_ms; /* later than the first */
-	uint64_t word_ms;
+	uint64_t update_ms;
 };
 
 const claim_case claim_cases[] = {
@@ -613,14 +624,14 @@
 	const claim_case &c = GetParam();
 
 	for (uint32_t first : { 1, 2 }) {
-		ClaimWorld world(
-			{ { first, PRINT, 0 },
-			  { 3 - first, PRINT, c.second_node_ms * US_PER_MS } },
-			c.word_ms * US_PER_MS);
-
-		world.play();
-		EXPECT_EQ(0, world.overlaps());
-		for (const Claimer &claimer : world.claimers)
+		ClaimSimulation simulation({ { first, FINGERPRINT, 0 },
+					     { 3 - first, FINGERPRINT,
+					       c.second_node_ms * US_PER_MS } },
+					   c.update_ms * US_PER_MS);
+
+		simulation.play();
+		EXPECT_EQ(0, simulation.overlaps());
+		for (const ClaimingNode &claimer : simulation.claimers)
 			EXPECT_NE(0u, claimer.began_us);
 	}
 }
@@ -631,15 +642,16 @@
 	const claim_case &c = GetParam();
 
 	for (uint64_t first : { 5, 6 }) {
-		ClaimWorld world(
+		ClaimSimulation simulation(
 			{ { 1, first, 0 },
 			  { 2, 11 - first, c.second_node_ms * US_PER_MS } },
-			c.word_ms * US_PER_MS);
+			c.update_ms * US_PER_MS);
 
-		world.play();
-		EXPECT_NE(0u, world.claimers[0].life);
-		EXPECT_NE(0u, world.claimers[1].life);
-		EXPECT_NE(world.claimers[0].life, world.claimers[1].life);
+		simulation.play();
+		EXPECT_NE(0u, simulation.claimers[0].life);
+		EXPECT_NE(0u, simulation.claimers[1].life);
+		EXPECT_NE(simulation.claimers[0].life,
+			  simulation.claimers[1].life);
 	}
 }
 
@@ -647,233 +659,244 @@
 			 [](const auto &info) { return info.param.name; });
 
 /* Guards against a node that dies after its claim blocking the request. */
-TEST_F(SuspectTest, AClaimEndsWithItsTime)
+TEST_F(SuspectTest, ClaimExpires)
 {
 	crash_times(2);
-	suspect_claim(table, PRINT, OTHER, now_us);
-	EXPECT_EQ(SUSPECT_AT_WORK, rule().verdict);
-	now_us += 2 * SUSPECT_CLAIM_US;
-	EXPECT_EQ(SUSPECT_ALONE, rule().verdict);
+	suspect_claim(table, FINGERPRINT, OTHER, now_us);
+	EXPECT_EQ(SUSPECT_RUNNING, decide().verdict);
+	now_us += 2 * SUSPECT_CLAIM_WAIT_US;
+	EXPECT_EQ(SUSPECT_MAY_RUN, decide().verdict);
 }
 
 /* Guards against a node that was suspended running on a claim that is over. */
-TEST_F(SuspectTest, AClaimThatIsOverIsMadeAgain)
+TEST_F(SuspectTest, ExpiredClaimMustBeRepeated)
 {
 	crash_times(2);
-	EXPECT_TRUE(rule().claims);
-	suspect_claim(table, PRINT, SELF, now_us);
-	now_us += SUSPECT_CLAIM_US;
-	EXPECT_FALSE(rule(PRINT, false, true).claims);
-	now_us += SUSPECT_CLAIM_US;
-	EXPECT_TRUE(rule(PRINT, false, true).claims);
+	EXPECT_TRUE(decide().claims);
+	suspect_claim(table, FINGERPRINT, SELF, now_us);
+	now_us += SUSPECT_CLAIM_WAIT_US;
+	EXPECT_FALSE(decide(FINGERPRINT, false, true).claims);
+	now_us += SUSPECT_CLAIM_WAIT_US;
+	EXPECT_TRUE(decide(FINGERPRINT, false, true).claims);
 }
 
 /* --- words between nodes ------------------------------------------------ */
 
-class WordTest : public SuspectTest
+class SuspectUpdateTest : public SuspectTest
 {
       protected:
 	void SetUp() override
 	{
 		SuspectTest::SetUp();
-		theirs = suspect_table_new();
+		peer_table = suspect_table_new();
 	}
 	void TearDown() override
 	{
-		suspect_table_free(theirs);
+		suspect_table_free(peer_table);
 		SuspectTest::TearDown();
 	}
-	bool take(const struct suspect_word &word)
+	bool apply(const struct suspect_update &update)
 	{
-		return suspect_take(theirs, &word, SELF, backends, now_us);
+		return suspect_apply_update(peer_table, &update, SELF, backends,
+					    now_us);
 	}
-	void tell()
+	void send_updates()
 	{
-		for (const struct suspect_word &word : words())
-			EXPECT_TRUE(take(word));
+		for (const struct suspect_update &update : updates())
+			EXPECT_TRUE(apply(update));
 	}
-	enum suspect_verdict their_verdict(bool is_prober = false)
+	enum suspect_verdict peer_verdict(bool is_prober = false)
 	{
-		const struct suspect_query query = { PRINT, OTHER, is_prober,
-						     false };
-		struct suspect_ruling ruling;
+		const struct suspect_query query = { FINGERPRINT, OTHER,
+						     is_prober, false };
+		struct suspect_decision decision;
 
-		suspect_rule(theirs, &query, backends, now_us, &ruling);
-		return ruling.verdict;
+		suspect_decide(peer_table, &query, backends, now_us, &decision);
+		return decision.verdict;
 	}
-	struct suspect_table *theirs;
+	struct suspect_table *peer_table;
 };
 
 /* Guards against nodes that each count a part of the crashes. */
-TEST_F(WordTest, CrashesOfTwoNodesAddUp)
+TEST_F(SuspectUpdateTest, CrashesOfTwoNodesAddUp)
 {
 	crash_times(2);
 	const struct suspect_crash crash = { 7, 0, now_us - 5 * US_PER_S,
 					     US_PER_MS };
 
-	suspect_crashed(theirs, PRINT, backends, &crash, "GET /r/x");
-	EXPECT_EQ(SUSPECT_ALONE, their_verdict());
-	tell();
-	tell();
-	EXPECT_EQ(SUSPECT_QUARANTINED, their_verdict());
+	suspect_add_own_crash(peer_table, FINGERPRINT, backends, &crash,
+			      "GET /r/x");
+	EXPECT_EQ(SUSPECT_MAY_RUN, peer_verdict());
+	send_updates();
+	send_updates();
+	EXPECT_EQ(SUSPECT_QUARANTINED, peer_verdict());
 }
 
-TEST_F(WordTest, AQuarantineGoesOnByWord)
+TEST_F(SuspectUpdateTest, ExtendedQuarantinePropagates)
 {
 	crash_times(3);
-	now_us += rule().left_us;
+	now_us += decide().left_us;
 	crash(next_life++);
-	tell();
-	EXPECT_EQ(SUSPECT_QUARANTINED, their_verdict(true));
-	EXPECT_EQ(2u, suspect_table_find(theirs, PRINT)->rounds);
+	send_updates();
+	EXPECT_EQ(SUSPECT_QUARANTINED, peer_verdict(true));
+	EXPECT_EQ(2u, suspect_table_find(peer_table, FINGERPRINT)->rounds);
 }
 
 /* Guards against an old word undoing what an answer has cleared. */
-TEST_F(WordTest, AnAnswerClearsWhatWasToldBefore)
+TEST_F(SuspectUpdateTest, AnswerOverridesOlderUpdates)
 {
 	crash_times(2);
-	std::vector<struct suspect_word> old = words();
+	std::vector<struct suspect_update> old = updates();
 
-	tell();
+	send_updates();
 	now_us += US_PER_S;
-	suspect_cleared(table, PRINT, now_us);
-	tell();
-	EXPECT_EQ(SUSPECT_NONE, their_verdict());
+	suspect_clear(table, FINGERPRINT, now_us);
+	send_updates();
+	EXPECT_EQ(SUSPECT_NONE, peer_verdict());
 	old[0].crashes[0].age_us += US_PER_S;
 	old[0].crashes[1].age_us += US_PER_S;
-	EXPECT_TRUE(take(old[0]));
-	EXPECT_EQ(SUSPECT_NONE, their_verdict());
+	EXPECT_TRUE(apply(old[0]));
+	EXPECT_EQ(SUSPECT_NONE, peer_verdict());
 }
 
 /* Guards against a late word on an older answer undoing a newer one. */
-TEST_F(WordTest, AnOlderAnswerAfterANewerOneChangesNothing)
+TEST_F(SuspectUpdateTest, AnOlderAnswerAfterANewerOneChangesNothing)
 {
 	crash_times(2);
-	tell();
+	send_updates();
 	const uint64_t newer_us = now_us + 2 * US_PER_S;
-	struct suspect_word older = {};
+	struct suspect_update older = {};
 
 	now_us = newer_us;
-	suspect_cleared(theirs, PRINT, now_us);
-	older.fingerprint = PRINT;
+	suspect_clear(peer_table, FINGERPRINT, now_us);
+	older.fingerprint = FINGERPRINT;
 	older.cleared = true;
 	older.cleared_age_us = US_PER_S;
-	EXPECT_TRUE(take(older));
-	EXPECT_EQ(newer_us, suspect_table_find(theirs, PRINT)->cleared_us);
+	EXPECT_TRUE(apply(older));
+	EXPECT_EQ(newer_us,
+		  suspect_table_find(peer_table, FINGERPRINT)->cleared_us);
 	const struct suspect_crash between = { next_life++, 0,
 					       newer_us - US_PER_S / 2,
 					       100 * US_PER_MS };
 
-	EXPECT_FALSE(suspect_crashed(theirs, PRINT, backends, &between, ""));
+	EXPECT_FALSE(suspect_add_own_crash(peer_table, FINGERPRINT, backends,
+					   &between, ""));
 }
 
-TEST_F(WordTest, ARunIsTold)
+TEST_F(SuspectUpdateTest, RunPropagates)
 {
 	crash_times(2);
-	const struct suspect_run run = { PRINT, SELF, 9, now_us + US_PER_S,
-					 true };
-
-	suspect_run_begins(table, &run);
-	tell();
-	EXPECT_EQ(SUSPECT_AT_WORK, their_verdict());
-	suspect_run_ends(table, PRINT, SELF);
-	tell();
-	EXPECT_EQ(SUSPECT_ALONE, their_verdict());
+	const struct suspect_run run = { FINGERPRINT, SELF, 9,
+					 now_us + US_PER_S, true };
+
+	suspect_begin_run(table, &run);
+	send_updates();
+	EXPECT_EQ(SUSPECT_RUNNING, peer_verdict());
+	suspect_end_run(table, FINGERPRINT, SELF);
+	send_updates();
+	EXPECT_EQ(SUSPECT_MAY_RUN, peer_verdict());
 }
 
 /* Guards against callers of other nodes waiting for a run that has ended. */
-TEST_F(WordTest, TheEndOfARunIsToldAtOnce)
+TEST_F(SuspectUpdateTest, EndOfARunIsBroadcast)
 {
-	struct suspect_word word;
+	struct suspect_update update;
 
 	crash_times(1);
-	const struct suspect_run run = { PRINT, SELF, 9, now_us + US_PER_S,
-					 false };
-
-	suspect_run_begins(table, &run);
-	EXPECT_EQ(1u, suspect_urgent_words(table, SELF, now_us, &word, 1));
-	EXPECT_TRUE(take(word));
-	EXPECT_EQ(SUSPECT_AT_WORK, their_verdict());
-	suspect_run_ends(table, PRINT, SELF);
-	EXPECT_EQ(1u, suspect_urgent_words(table, SELF, now_us, &word, 1));
-	EXPECT_TRUE(take(word));
-	EXPECT_EQ(SUSPECT_ALONE, their_verdict());
+	const struct suspect_run run = { FINGERPRINT, SELF, 9,
+					 now_us + US_PER_S, false };
+
+	suspect_begin_run(table, &run);
+	EXPECT_EQ(1u,
+		  suspect_collect_broadcast(table, SELF, now_us, &update, 1));
+	EXPECT_TRUE(apply(update));
+	EXPECT_EQ(SUSPECT_RUNNING, peer_verdict());
+	suspect_end_run(table, FINGERPRINT, SELF);
+	EXPECT_EQ(1u,
+		  suspect_collect_broadcast(table, SELF, now_us, &update, 1));
+	EXPECT_TRUE(apply(update));
+	EXPECT_EQ(SUSPECT_MAY_RUN, peer_verdict());
 }
 
 /* Guards against a confused node taking a request's service away by itself. */
-TEST_F(WordTest, CrashesOfServersThatAnswerDontCount)
+TEST_F(SuspectUpdateTest, CrashesOfServersThatAnswerDontCount)
 {
-	struct suspect_word word = {};
+	struct suspect_update update = {};
 
-	word.fingerprint = PRINT;
-	word.rounds = 1;
-	word.left_us = SUSPECT_QUARANTINE_US;
-	word.crash_count = SUSPECT_CRASHES;
-	for (uint32_t i = 0; i < SUSPECT_CRASHES; i++) {
+	update.fingerprint = FINGERPRINT;
+	update.rounds = 1;
+	update.left_us = SUSPECT_QUARANTINE_US;
+	update.crash_count = SUSPECT_QUARANTINE_CRASHES;
+	for (uint32_t i = 0; i < SUSPECT_QUARANTINE_CRASHES; i++) {
 		struct backend *backend =
 			add_backend(("i-" + std::to_string(i)).c_str());
 
 		backend_answered(backend, now_us - US_PER_S);
-		word.crashes[i].life = backend->life;
-		word.crashes[i].age_us = (5 + i) * US_PER_S;
+		update.crashes[i].life = backend->life;
+		update.crashes[i].age_us = (5 + i) * US_PER_S;
 	}
-	EXPECT_TRUE(take(word));
-	EXPECT_EQ(SUSPECT_NONE, their_verdict());
+	EXPECT_TRUE(apply(update));
+	EXPECT_EQ(SUSPECT_NONE, peer_verdict());
 }
 
-struct absurd_case {
+struct invalid_update_case {
 	const char *name;
-	void (*spoil)(struct suspect_word *word);
+	void (*corrupt)(struct suspect_update *update);
 };
 
-const absurd_case absurd_cases[] = {
-	{ "NoFingerprint", [](auto *word) { word->fingerprint = 0; } },
-	{ "ManyCrashes", [](auto *word) { word->crash_count = 1000000; } },
+const invalid_update_case invalid_update_cases[] = {
+	{ "NoFingerprint", [](auto *update) { update->fingerprint = 0; } },
+	{ "ManyCrashes", [](auto *update) { update->crash_count = 1000000; } },
 	{ "ManyRounds",
-	  [](auto *word) { word->rounds = SUSPECT_ROUNDS_MOST + 1; } },
+	  [](auto *update) { update->rounds = SUSPECT_MAX_ROUNDS + 1; } },
 	{ "LongQuarantine",
-	  [](auto *word) { word->left_us = 2 * SUSPECT_QUARANTINE_US; } },
-	{ "QuarantineWithoutRound", [](auto *word) { word->rounds = 0; } },
+	  [](auto *update) { update->left_us = 2 * SUSPECT_QUARANTINE_US; } },
+	{ "QuarantineWithoutRound", [](auto *update) { update->rounds = 0; } },
 	{ "OldCrash",
-	  [](auto *word) { word->crashes[0].age_us = SUSPECT_KEEP_US + 1; } },
+	  [](auto *update) {
+		  update->crashes[0].age_us = SUSPECT_TTL_US + 1;
+	  } },
 	{ "LongRun",
-	  [](auto *word) { word->run_left_us = SUSPECT_RUN_MOST_US + 1; } },
+	  [](auto *update) { update->run_left_us = SUSPECT_MAX_RUN_US + 1; } },
 };
 
-class AbsurdTest : public WordTest,
-		   public ::testing::WithParamInterface<absurd_case>
+class InvalidUpdateTest
+    : public SuspectUpdateTest,
+      public ::testing::WithParamInterface<invalid_update_case>
 {
 };
 
-TEST_P(AbsurdTest, WordChangesNothing)
+TEST_P(InvalidUpdateTest, ChangesNothing)
 {
 	crash_times(3);
-	struct suspect_word word = words()[0];
+	struct suspect_update update = updates()[0];
 
-	GetParam().spoil(&word);
-	EXPECT_FALSE(take(word));
-	EXPECT_EQ(0u, theirs->count);
-	EXPECT_EQ(0u, theirs->run_count);
+	GetParam().corrupt(&update);
+	EXPECT_FALSE(apply(update));
+	EXPECT_EQ(0u, peer_table->count);
+	EXPECT_EQ(0u, peer_table->run_count);
 }
 
-INSTANTIATE_TEST_SUITE_P(Cases, AbsurdTest, ::testing::ValuesIn(absurd_cases),
+INSTANTIATE_TEST_SUITE_P(Cases, InvalidUpdateTest,
+			 ::testing::ValuesIn(invalid_update_cases),
 			 [](const auto &info) { return info.param.name; });
 
 /* Guards against lost datagrams, and against telling for ever. */
-TEST_F(WordTest, ChangesAreToldAFewTimesQuarantinesAgainAndAgain)
+TEST_F(SuspectUpdateTest, ChangesAreSentAFewTimesQuarantinesRepeatedly)
 {
-	struct suspect_word word;
+	struct suspect_update update;
 
 	crash_times(1);
-	EXPECT_TRUE(suspect_is_urgent(table));
-	EXPECT_EQ(1u, suspect_urgent_words(table, SELF, now_us, &word, 1));
-	EXPECT_FALSE(suspect_is_urgent(table));
+	EXPECT_TRUE(suspect_has_broadcast(table));
+	EXPECT_EQ(1u,
+		  suspect_collect_broadcast(table, SELF, now_us, &update, 1));
+	EXPECT_FALSE(suspect_has_broadcast(table));
 	for (int i = 0; i < 10; i++)
-		words();
-	EXPECT_TRUE(words().empty());
+		updates();
+	EXPECT_TRUE(updates().empty());
 	crash_times(2);
 	for (int i = 0; i < 50; i++)
-		EXPECT_EQ(1u, words().size());
+		EXPECT_EQ(1u, updates().size());
 }
 
 } /* namespace */
--- a/tests/edge/admin_test.cc
+++ b/tests/edge/admin_test.cc
@@ -160,7 +160,7 @@
 TEST_F(AdminTest, LimitsAreListedWithTheNodesPart)
 {
 	struct backend *backend = backend_table_find(edge->backends, "i-1");
-	const struct rate_word word = { backend->life, 1.5, 0 };
+	const struct rate_update word = { backend->life, 1.5, 0 };
 
 	edge->began_us = 0;
 	ASSERT_TRUE(server_limits_take(edge, &word));
--- a/tests/edge/beat_test.cc
+++ b/tests/edge/beat_test.cc
@@ -98,8 +98,8 @@
 
 	beat.life_count = 1;
 	beat.suspect_count = BEAT_MAX_SUSPECTS;
-	for (struct suspect_word &word : beat.suspects)
-		word.crash_count = SUSPECT_CRASHES_KEPT;
+	for (struct suspect_update &word : beat.suspects)
+		word.crash_count = SUSPECT_MAX_CRASHES;
 	beat.rate_count = BEAT_MAX_RATES;
 	beat.rates[19] = { 7, 1.8, 2000000 };
 	beat.token_count = BEAT_MAX_TOKENS;
--- a/tests/edge/crash_test.cc
+++ b/tests/edge/crash_test.cc
@@ -206,7 +206,7 @@
 	}
 	std::string key(const char *path)
 	{
-		const struct fingerprint_parts parts = { "GET",	  "h.example",
+		const struct fingerprint_input parts = { "GET",	  "h.example",
 							 path,	  nullptr,
 							 nullptr, 0 };
 		char text[17];
@@ -251,8 +251,8 @@
 	quarantine_store_review(quarantines);
 	EXPECT_NE(nullptr, row("/r/deadly"));
 	for (uint32_t i = 0; i < known.crash_count; i++)
-		suspect_crashed(edge->suspects, 7, edge->backends,
-				&known.crashes[i], "GET /r/other");
+		suspect_add_own_crash(edge->suspects, 7, edge->backends,
+				      &known.crashes[i], "GET /r/other");
 	quarantine_store_review(quarantines);
 	wait_for([this] { return !row("/r/deadly"); });
 }
--- a/tests/edge/gossip_test.cc
+++ b/tests/edge/gossip_test.cc
@@ -392,9 +392,9 @@
 /* Guards against a node that isn't told giving a deadly request three more. */
 TEST_F(GossipTest, AQuarantineIsTakenFromANeighbour)
 {
-	const struct fingerprint_parts parts = { "GET",	  "h.example", "/r/x",
+	const struct fingerprint_input parts = { "GET",	  "h.example", "/r/x",
 						 nullptr, nullptr,     0 };
-	struct suspect_word word = {};
+	struct suspect_update word = {};
 	struct beat beat = {};
 
 	add_app("i-1");
@@ -418,7 +418,7 @@
 TEST_F(GossipTest, AQuarantineThatAddsUpHereIsKept)
 {
 	App &app = add_app("i-1");
-	struct suspect_word word = {};
+	struct suspect_update word = {};
 	struct beat beat = {};
 
 	app_stand_set_deadly(app.stand, "/r/x");
@@ -428,7 +428,7 @@
 	wait_for([&] { return !quarantine_store_is_reading(quarantines); });
 	answer_to(get("a1", "/r/x"));
 	wait_for([this] { return edge->suspects->count > 0; });
-	for (uint32_t i = 0; i < SUSPECTS_MOST; i++)
+	for (uint32_t i = 0; i < SUSPECT_MAX_ENTRIES; i++)
 		word.fingerprint =
 			MAX(word.fingerprint, edge->suspects->keys[i]);
 	word.crash_count = 2;
@@ -494,7 +494,7 @@
 		neighbour->hash = hash_before(0);
 		put_dead_sender(hash_before(neighbour->hash + 1));
 		member_heard(neighbour, 1, false, edge_now_us(edge));
-		const struct rate_word word = { backend->life, 1, 0 };
+		const struct rate_update word = { backend->life, 1, 0 };
 		ASSERT_TRUE(server_limits_take(edge, &word));
 		ASSERT_DOUBLE_EQ(0, backend->limit.part_per_s);
 	}
--- a/tests/edge/server_limit_test.cc
+++ b/tests/edge/server_limit_test.cc
@@ -137,12 +137,12 @@
 
 	start_settled_node();
 	uint32_t life = backend_table_find(edge->backends, "i-1")->life;
-	for (const struct rate_word &absurd :
-	     { rate_word{ life, -1, 0 }, rate_word{ life, 1e300, 0 },
-	       rate_word{ life, 2, 3600ull * 1000000 } })
+	for (const struct rate_update &absurd :
+	     { rate_update{ life, -1, 0 }, rate_update{ life, 1e300, 0 },
+	       rate_update{ life, 2, 3600ull * 1000000 } })
 		EXPECT_FALSE(server_limits_take(edge, &absurd));
 	EXPECT_DOUBLE_EQ(0, limit_of("i-1").per_s);
-	const struct rate_word word = { life, 1, 0 };
+	const struct rate_update word = { life, 1, 0 };
 	EXPECT_TRUE(server_limits_take(edge, &word));
 	EXPECT_EQ(503, status_of(answer_to(get("a1", "/r/"))));
 	EXPECT_EQ(0u, app_stand_total_runs(needy.stand));
@@ -151,7 +151,7 @@
 /* Ever lower rates, each of them news for all nodes. */
 TEST_F(ServerLimitTest, RatesThatKeepFallingCostBoundedWords)
 {
-	struct rate_word told[BEAT_MAX_RATES];
+	struct rate_update told[BEAT_MAX_RATES];
 	uint32_t words = 0;
 	App &needy = add_app("i-1");
 
