--- a/packages/core/admission.c
+++ b/packages/core/admission.c
@@ -3,14 +3,14 @@
 #include "core/duration.h"
 
 /*
- * When refused callers come back, as a part of the time that they have: they
- * wait a third of it at most. They are late already, so that what counts for
- * them is room, and there is most of it when the burst has passed.
+ * Range of the retry-after, as a fraction of the time that the caller waits: at
+ * most a third. The caller is late already, so free slots matter more than
+ * time, and most are free after the burst.
  */
 #define MIN_RETRY_FRACTION 0.3
 #define MAX_RETRY_FRACTION 0.33
 
-/* For callers that don't say how long they wait: some service times. */
+/* For callers with unknown patience: a few service times. */
 #define DEFAULT_RETRY_US (400 * US_PER_MS)
 
 enum admission_verdict admission_decide(const struct admission_request *request)
--- a/packages/core/admission.h
+++ b/packages/core/admission.h
@@ -1,13 +1,12 @@
 /*
  * admission - whether a service that is short of slots takes a request
  *
- * Pure. It answers the load of a service whose slots are all taken: more
- * callers than it can serve for seconds, caches that went cold, or servers that
- * were lost. Requests then queue at the servers, and once the queue is as long
- * as the objective every answer comes late, also those for callers that come
- * after the burst: the queue never drains by itself while as many arrive as are
- * served. A request that would only lengthen it is refused at once, and told to
- * come back as late as its caller will wait for.
+ * Pure. It handles a service whose slots are all in use: more callers than it
+ * can serve for seconds, cold caches, or lost servers. Requests then queue at
+ * the servers, and once the queue is as long as the latency objective, every
+ * answer is late, even after the burst: the queue never drains while as many
+ * requests arrive as are served. A request that would only lengthen the queue
+ * is rejected at once, with a retry-after as late as its caller will wait.
  */
 #ifndef CORE_ADMISSION_H
 #define CORE_ADMISSION_H
@@ -19,40 +18,40 @@
 extern "C" {
 #endif
 
-/* A request at the server that was chosen for it. */
+/* A request at the server chosen for it. */
 struct admission_request {
 	double expected_us; /* from now to its answer */
-	double wait_us; /* of that: for a slot; 0 where one is free */
-	uint64_t spent_us; /* since it arrived */
-	uint64_t left_us; /* until its answer is due */
-	uint64_t target_us; /* objective of its route */
+	double wait_us; /* part of it: for a slot; 0 if one is free */
+	uint64_t spent_us; /* since the request arrived */
+	uint64_t left_us; /* until its deadline */
+	uint64_t target_us; /* latency objective of its route */
 };
 
 enum admission_verdict {
 	ADMISSION_ACCEPT,
-	ADMISSION_QUEUE_LATE, /* would wait for a slot, and be late anyway */
-	ADMISSION_TOO_LATE, /* its answer would miss its deadline */
+	ADMISSION_QUEUE_LATE, /* would queue, and miss the objective */
+	ADMISSION_TOO_LATE, /* would miss its deadline */
 };
 
 enum admission_verdict
 admission_decide(const struct admission_request *request);
 
 /*
- * When a refused caller should come back, if it waits patience_us in all from
- * now (0: it didn't say). spread is from 0 to 1, drawn anew for each, so that
- * those who were refused together don't come back together.
+ * Retry-after for a rejected caller that waits patience_us in all from now (0:
+ * unknown). jitter is a random number from 0 to 1, drawn for each call, so that
+ * callers rejected together don't return together.
  */
 uint64_t admission_retry_after_us(uint64_t patience_us, double jitter);
 
-/* Callers that were refused for want of a rate, and when they return. */
+/* Retries of callers that were rejected because a server's rate was used up. */
 struct admission_retry_schedule {
-	uint64_t next_us; /* the latest one's time */
+	uint64_t next_us; /* time of the latest retry */
 };
 
 /*
- * The same for one that waits for a rate of so many a second: one after another
- * as that allows. Where the rate is spoken for beyond its time it comes back as
- * late as it will wait for.
+ * The same for a caller that waits for a rate of per_s requests per second:
+ * retries are spaced at that rate. If the rate is taken for longer than the
+ * caller waits, it returns as late as it can.
  */
 uint64_t admission_schedule_retry_us(struct admission_retry_schedule *schedule,
 				     double per_s, uint64_t patience_us,
--- a/packages/core/extra_budget.c
+++ b/packages/core/extra_budget.c
@@ -3,8 +3,8 @@
 #include <string.h>
 
 /*
- * Part of the bound that is used, as a guard against requests that were counted
- * here in one window and arrive at the backend server in the next.
+ * Fraction of the limit that is used, as a margin for requests counted here in
+ * one window that arrive at the backend server in the next.
  */
 #define USED_FRACTION 0.7
 
--- a/packages/core/fingerprint.c
+++ b/packages/core/fingerprint.c
@@ -5,7 +5,10 @@
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
-/* With its NUL, so that parts can't be shifted into each other. */
+/*
+ * Includes the NUL, so that text moved from one field to the next changes the
+ * hash.
+ */
 static void hash_text_field(XXH3_state_t *state, const char *text)
 {
 	XXH3_64bits_update(state, text ? text : "",
--- a/packages/core/rate_limit.c
+++ b/packages/core/rate_limit.c
@@ -7,51 +7,51 @@
 
 #include "core/duration.h"
 
-/* Longest text of a rate: the largest one with six places. */
+/* Length of the largest rate with six decimal places. */
 #define MAX_TEXT_LENGTH 16
 
-/* A word that is older is of no server that is still limited so. */
+/* The server of an older update no longer has this limit. */
 #define MAX_UPDATE_AGE_US (600 * US_PER_S)
 
 /*
- * What a sender's part is at least, unless there are too few senders for one
- * of them to be lost: smaller parts add up to a larger burst.
+ * Smallest quota, unless there would be too few holders to tolerate the loss of
+ * one. Smaller quotas add up to a larger burst.
  */
 #define MIN_QUOTA_PER_S 2.0
 #define MIN_HOLDERS 2
 
 /*
- * What a part may save up: one request, and its share of these or so much time
- * of its rate where that is more. Nodes of other regions come for it once in a
- * round trip.
+ * A bucket holds one request, plus its share of TOTAL_BURST requests or the
+ * quota of BURST_US, whichever is more. Nodes of other regions borrow only once
+ * per round trip.
  */
 #define TOTAL_BURST 2.0
 #define BURST_US (150 * US_PER_MS)
 
 /*
- * A borrowed token is good for so long after it was asked for, beside the way,
- * and an answer is waited for as long before another sender is asked: a few
- * round trips within a region, on nodes that are busy.
+ * Lifetime of borrowed tokens after they were asked for, and time to wait for
+ * an answer before another holder is asked, both besides the round trip: a few
+ * round trips within a region, on busy nodes.
  */
 #define LOAN_TTL_US (300 * US_PER_MS)
 #define ANSWER_TIMEOUT_US (100 * US_PER_MS)
 
-/* Tokens that are asked for at one time. */
+/* Tokens borrowed at one time. */
 #define MAX_LOAN 64
 
-/* Longest time that a sender says to wait: its part may change. */
+/* Longest wait that a holder asks for, since its quota may change. */
 #define MAX_RETRY_DELAY_US (500 * US_PER_MS)
 
 /*
- * Once a server names no rate any more, what it gets doubles in each such time
- * from the last rate on, and is unbounded after the whole.
+ * After the limit is lifted, the last rate doubles in each RAMP_DOUBLING_US,
+ * and is unlimited after RAMP_US.
  */
 #define RAMP_DOUBLING_US (250 * US_PER_MS)
 #define RAMP_US (2 * US_PER_S)
 
 /*
- * A higher rate isn't believed for so long after a lower one was named: each
- * change of one that flaps would be told to all nodes.
+ * A higher rate is ignored for this long after a lower one: each change of a
+ * rate that flaps would be broadcast to all nodes.
  */
 #define RAISE_DELAY_US (300 * US_PER_MS)
 
@@ -102,7 +102,7 @@
 	return per_s > 0 && (known_per_s == 0 || per_s < known_per_s);
 }
 
-/* Whether a higher rate that was learned then follows a lower one too soon. */
+/* Whether a higher rate learned at at_us follows a lower one too soon. */
 static bool is_too_early(const struct rate_limit *limit, uint64_t at_us)
 {
 	return limit->per_s > 0 && at_us - limit->learned_us < RAISE_DELAY_US;
@@ -111,7 +111,7 @@
 static void set_rate(struct rate_limit *limit, double per_s, uint64_t at_us,
 		     uint64_t now_us)
 {
-	/* The part's bucket begins empty, or a flapping rate would fill it. */
+	/* The bucket starts empty: a flapping rate would fill it each time. */
 	if (!limit->per_s) {
 		limit->part_per_s = 0;
 		limit->tokens = 0;
@@ -149,7 +149,7 @@
 	return true;
 }
 
-/* How many of so many nodes send to a server that names this rate. */
+/* How many of these nodes hold quotas of the rate. */
 static uint32_t count_holders(double per_s, uint32_t nodes)
 {
 	uint32_t holders = (uint32_t)fmin(ceil(per_s / MIN_QUOTA_PER_S), nodes);
@@ -283,7 +283,7 @@
 	return 0;
 }
 
-/* Whether an answer of the sender was due, which it isn't any more. */
+/* Whether an answer of the holder was pending; it no longer is. */
 static bool remove_asked(struct rate_limit *limit, uint32_t holder)
 {
 	uint32_t i;
--- a/packages/core/rate_limit.h
+++ b/packages/core/rate_limit.h
@@ -1,14 +1,14 @@
 /*
- * rate_limit - the rate that a backend server in need takes from all nodes
+ * rate_limit - the request rate that an overloaded backend server accepts
  *
- * The server names it in its answers, for as long as it holds. A few nodes of
- * its region, the senders, share the rate by equal, fixed parts, so that the
- * parts add up to the rate whoever dies, starts or is cut off. Each part is a
- * token bucket that holds next to nothing. Which members are senders follows
- * from the members' table, dead ones included. Another node that has requests
- * for the server borrows tokens of a sender, which then aren't the sender's any
- * more; what is lost on its way is nobody's. Pure; not thread-safe. Times are
- * those of the clock port.
+ * The server reports the rate in its answers for as long as it holds. A few
+ * nodes of its region, the quota holders, share the rate by equal, fixed
+ * quotas, so that the quotas add up to the rate whichever node dies, starts or
+ * is partitioned. Each quota fills a token bucket with a very small burst. The
+ * holders follow from the member table, dead members included. Another node
+ * with requests for the server borrows tokens from a holder, which gives them
+ * up; tokens lost on the way are used by nobody. Pure; not thread-safe. Times
+ * are those of the clock port.
  */
 #ifndef CORE_RATE_LIMIT_H
 #define CORE_RATE_LIMIT_H
@@ -22,125 +22,132 @@
 extern "C" {
 #endif
 
-/* Rates that are believed, in requests a second; others are an error. */
+/* Valid rates, in requests per second. */
 #define RATE_LIMIT_MIN_PER_S 0.001
 #define RATE_LIMIT_MAX_PER_S 1000000.0
 
-/* Senders that are asked for tokens at one time. */
+/* Holders asked for tokens at one time. */
 #define RATE_LIMIT_MAX_ASKED 3
 
 struct rate_limit {
-	double per_s; /* of all nodes together; 0: none is named */
-	double previous_per_s; /* the rate before it named none; 0: none */
-	uint64_t learned_us; /* when that was learned; 0: never named */
-	double part_per_s; /* this node's */
+	double per_s; /* of all nodes together; 0: unlimited */
+	double previous_per_s; /* rate before the limit was lifted; 0: none */
+	uint64_t learned_us; /* when the rate was last reported; 0: never */
+	double part_per_s; /* this node's; 0: not a holder */
 	double tokens;
 	uint64_t filled_us;
-	uint32_t borrowed; /* tokens of a sender's */
+	uint32_t borrowed; /* tokens */
 	uint64_t borrowed_until_us;
-	/* Senders whose answers are due, by hash. */
+	/* Holders whose answers are pending, by hash. */
 	uint32_t asked[RATE_LIMIT_MAX_ASKED];
 	uint32_t asked_count;
 	uint64_t asked_us;
-	uint64_t way_us; /* to these and back */
-	uint32_t missed; /* requests that had no token since then */
-	uint32_t refused_by; /* the sender that had none, by hash; 0: none */
-	uint64_t ask_again_us; /* senders have none before that */
-	uint32_t urgent; /* times it is still told to all at once */
-	uint64_t broadcast_us; /* when it last was */
-	uint32_t rejected; /* words that can't be read */
-	uint64_t sent; /* requests, while it was limited */
+	uint64_t way_us; /* to the holders asked */
+	uint32_t missed; /* requests without a token since the last borrowing */
+	uint32_t refused_by; /* holder that had no tokens, by hash; 0: none */
+	uint64_t ask_again_us; /* no borrowing before that time */
+	uint32_t urgent; /* broadcasts to all nodes that are due */
+	uint64_t broadcast_us; /* time of the last broadcast */
+	uint32_t rejected; /* answers with an invalid rate */
+	uint64_t sent; /* requests sent while limited */
 };
 
-/* What one node tells another of a server's rate; times are ages. */
+/* What one node sends another about a server's rate. Times are ages. */
 struct rate_update {
 	uint32_t life; /* of the backend server */
-	double per_s; /* 0: it names none any more */
-	uint64_t age_us; /* since it was learned from the server */
+	double per_s; /* 0: unlimited */
+	uint64_t age_us; /* since the server reported it */
 };
 
 /*
- * Read a rate as servers write it, digits with at most one point; false where
- * it is anything else or out of bounds.
+ * Parses a rate as servers write it: digits with at most one decimal point.
+ * False if it is malformed or out of range.
  */
 bool rate_limit_parse(const char *text, double *per_s);
 
-/* Whether a neighbour's word can be true. */
+/* Whether the values of a peer's update are in range. */
 bool rate_limit_update_is_valid(const struct rate_update *update);
 
 /*
- * An answer named this rate, 0 for none; it was asked for at sent_us. A higher
- * one counts only if the server was asked after the known one was learned, for
- * answers of different nodes overtake each other, and not at once. Whether that
- * was news.
+ * Applies the rate in an answer (0: none) to a request sent at sent_us. A
+ * higher rate counts only if the request was sent after the known rate was
+ * learned, as answers to different nodes overtake each other, and not soon
+ * after a lower one. Returns whether the rate changed.
  */
 bool rate_limit_apply_answer(struct rate_limit *limit, double per_s,
 			     uint64_t sent_us, uint64_t now_us);
 
-/* A neighbour learned this rate then. Whether that was news. */
+/* Applies a rate that a peer learned at at_us. Returns whether it changed. */
 bool rate_limit_apply_update(struct rate_limit *limit, double per_s,
 			     uint64_t at_us, uint64_t now_us);
 
 /*
- * What all nodes together may send a second: the rate that the server names, or
- * for a moment after it named one a rising one, since all that was held back
- * would come at once. 0: as much as they like.
+ * Requests per second that all nodes together may send; 0: unlimited. This is
+ * the reported rate, or a rising one for a short time after the limit was
+ * lifted, as all requests held back would otherwise come at once.
  */
 double rate_limit_effective(const struct rate_limit *limit, uint64_t now_us);
 bool rate_limit_is_limited(const struct rate_limit *limit, uint64_t now_us);
 
 /*
- * This node's part of the rate that a server of this region names, by the
- * server's hash; 0 for a node that isn't a sender. Senders are some of the
- * region's nodes, or of all where none of these is known.
+ * This node's quota of a rate that a server reports; region and hash are the
+ * server's. 0 if the node isn't a holder. The holders are nodes of the server's
+ * region, or of all regions if none is known there.
  */
 double rate_limit_quota(const struct member_table *members, const char *region,
 			uint32_t hash, double per_s);
 
 /*
- * One of the server's senders that lives, but not one that had no token just
- * now, drawn by spread, 0 to 1; or NULL.
+ * Picks a live holder for the server by draw, a random number from 0 to 1,
+ * other than the one that had no tokens just now. NULL if there is none.
  */
 const struct member *rate_limit_pick_holder(const struct rate_limit *limit,
 					    const struct member_table *members,
 					    const char *region, uint32_t hash,
 					    double draw, uint64_t now_us);
 
-/* Whether to ask a sender for tokens. */
+/* Whether to ask a holder for tokens now. */
 bool rate_limit_may_borrow(const struct rate_limit *limit, uint64_t now_us);
 
 /*
- * Begin to ask, over a way of so long; returns how many tokens are needed. And
- * note that this sender is asked; false if it is already, or too many are.
+ * rate_limit_begin_borrowing() returns the number of tokens to ask for, over a
+ * link with this round trip. rate_limit_mark_asked() notes that a holder is
+ * asked; false if it already is, or if too many are.
  */
 uint32_t rate_limit_begin_borrowing(struct rate_limit *limit, uint64_t way_us,
 				    uint64_t now_us);
 bool rate_limit_mark_asked(struct rate_limit *limit, uint32_t holder);
 
-/* A request has no token, and doesn't ask: another one's answer is due. */
+/*
+ * Counts a request without a token that doesn't borrow, as an answer is
+ * pending.
+ */
 void rate_limit_count_miss(struct rate_limit *limit);
 
-/* Lend tokens of one's own, at most most; how long to wait without any. */
+/*
+ * Lends up to max_tokens of this node's tokens and returns their number.
+ * Without any, wait_us is how long the borrower should wait.
+ */
 uint32_t rate_limit_lend(struct rate_limit *limit, uint32_t max_tokens,
 			 uint64_t now_us, uint64_t *wait_us);
 
-/* The sender's answer; one that wasn't asked for is ignored. */
+/* Applies a holder's answer; ignored if the holder wasn't asked. */
 void rate_limit_apply_loan(struct rate_limit *limit, uint32_t holder,
 			   uint32_t lent, uint64_t wait_us, uint64_t now_us);
 
-/* The part that the bucket fills with from now on. */
+/* Sets the quota at which the bucket fills. */
 void rate_limit_set_quota(struct rate_limit *limit, double part_per_s,
 			  uint64_t now_us);
 
-/* What the bucket holds, in requests. */
+/* Tokens in the bucket. */
 double rate_limit_tokens(const struct rate_limit *limit, uint64_t now_us);
 
 /* Whether a request may be sent now. */
 bool rate_limit_allows(const struct rate_limit *limit, uint64_t now_us);
 
 /*
- * Take a token for one request, where rate_limit_allows() it; whether one was
- * needed, and has to be given back if the request isn't sent.
+ * Takes a token for a request that rate_limit_allows() allows. Returns whether
+ * one was needed; it has to be given back if the request isn't sent.
  */
 bool rate_limit_take(struct rate_limit *limit, uint64_t now_us);
 void rate_limit_give_back(struct rate_limit *limit, uint64_t now_us);
--- a/packages/core/region_flow.c
+++ b/packages/core/region_flow.c
@@ -6,13 +6,13 @@
 #include "core/duration.h"
 #include "core/hash.h"
 
-/* Weight of one choice in the smoothed wish: about the last 30 choices. */
+/* Weight of one choice in the wanted share: about the last 30 choices. */
 #define WANTED_WEIGHT 0.03
 
 /*
- * Most that the share moves a second. Two windows of 2 s next to each other
- * then differ by 0.06 on average, under the usual bound of 0.15 with room for
- * the noise of some hundred requests.
+ * Largest change of the share per second. Adjacent windows of 2 s then differ
+ * by 0.06 on average, below the usual bound of 0.15 with a margin for the noise
+ * of some hundred requests.
  */
 #define STEP_PER_S 0.05
 
@@ -20,26 +20,27 @@
 #define EXCESS_WEIGHT 0.01
 
 /*
- * Requests that may leave ahead of the share, and that are owed to it at most;
- * from CREDIT_DUE on one leaves although it would rather stay. The noise of
- * some hundred requests stays within that, so that objects keep their side; a
- * jump of more is spread over seconds. The most lies above that by more than
- * one request, or a share near 1 would lose what it is owed.
+ * Bounds of the credit, which is negative after more requests left than the
+ * share allows. From CREDIT_DUE on, a request leaves although its object is
+ * served here. The noise of some hundred requests stays within the bounds, so
+ * that objects stay in their region; a larger jump is spread over seconds.
+ * CREDIT_MAX exceeds CREDIT_DUE by more than one request, or a share near 1
+ * would lose credit.
  */
 #define CREDIT_MIN (-6.0)
 #define CREDIT_DUE 6.0
 #define CREDIT_MAX 8.0
 
-/* The same for requests without an object. */
+/* CREDIT_DUE for requests without an object. */
 #define CREDIT_DUE_WITHOUT_OBJECT 1.5
 
 /*
- * Hashed with an object for its place among those that leave, which then has
- * nothing to do with the order of the servers for it.
+ * Hashed with an object for its position in the order of those that leave,
+ * which is then independent of the order of servers for the object.
  */
 #define LEAVING_ORDER_SEED 0x1eaf1eafu
 
-/* A stretch without requests allows one step of this length at most. */
+/* Longest time that one step accounts for, after a period without requests. */
 #define MAX_STEP_US US_PER_S
 
 static double step_towards(double from, double to, double max_step)
@@ -78,7 +79,7 @@
 	return place < flow->share;
 }
 
-/* Without an object there is no side to keep, and little to be put off. */
+/* A request without an object needs no cache and waits for little credit. */
 static double credit_needed(const struct region_flow_request *request,
 			    bool elsewhere)
 {
--- a/packages/core/region_flow.h
+++ b/packages/core/region_flow.h
@@ -1,9 +1,9 @@
 /*
- * region_flow - how large a share of a region's requests leaves it
+ * region_flow - the share of a region's requests that leaves it
  *
- * A share that jumps lands on backend servers that are cold for those objects
- * and empties the ones that were warm. The share therefore follows what the
- * choices prefer by bounded steps. Not thread-safe.
+ * A share that jumps sends requests to backend servers without cached objects
+ * and takes them from servers that have these. The share therefore follows the
+ * preferred choices in bounded steps. Not thread-safe.
  */
 #ifndef CORE_REGION_FLOW_H
 #define CORE_REGION_FLOW_H
@@ -16,41 +16,46 @@
 #endif
 
 struct region_flow {
-	double share; /* granted, 0 to 1 */
-	double wanted; /* share of choices that preferred to leave, smoothed */
-	/* What leaves beyond the share: some objects are asked for more. */
+	double share; /* of the objects, in effect; 0 to 1 */
+	double wanted; /* smoothed share of choices that preferred to leave */
+	/*
+	 * Share of requests beyond that of objects: some objects get more
+	 * requests.
+	 */
 	double excess;
-	double granted; /* share and excess, by bounded steps */
+	double granted; /* share plus excess, in bounded steps */
 	double credit; /* requests that may leave now */
-	uint64_t moved_us; /* when the shares last moved */
+	uint64_t moved_us; /* time of the last step */
 };
 
-/* Begin with a share, by what is known before any request. */
+/* Starts with a share that is known before any request. */
 void region_flow_init(struct region_flow *flow, double share);
 
-/* The next request, as region_flow_leave() sees it. */
+/* The next request, for region_flow_leave(). */
 struct region_flow_request {
-	bool prefers_to_leave; /* by what the choice expects there and here */
+	bool prefers_to_leave; /* expected latencies are better elsewhere */
 	bool has_object;
 	uint32_t object; /* its hash */
-	/* Something failed here: the rest has to go elsewhere at once. */
+	/*
+	 * Something failed in this region: its requests leave without limits.
+	 */
 	bool free;
 };
 
 /*
  * Whether the next request leaves its region.
  *
- * The share is one of objects: those whose place in a fixed order lies below it
- * are served elsewhere, so that each object has its servers on one side. Were
- * it any share of the requests, both regions would warm servers for all
- * objects. An object may have so many of the requests that its move is a jump:
- * how many leave therefore follows what belongs elsewhere by bounded steps too.
+ * The share is a share of objects: those whose position in a fixed order lies
+ * below it are served elsewhere, so that each object has its servers in one
+ * region. With a share of requests, both regions would cache all objects. As an
+ * object may have so many of the requests that its move is a jump, the number
+ * of requests that leave follows in bounded steps, too.
  */
 bool region_flow_leave(struct region_flow *flow,
 		       const struct region_flow_request *request,
 		       uint64_t now_us);
 
-/* The same without its being so. */
+/* The same answer, without recording the request. */
 bool region_flow_would_leave(const struct region_flow *flow,
 			     const struct region_flow_request *request,
 			     uint64_t now_us);
--- a/packages/core/share.c
+++ b/packages/core/share.c
@@ -4,8 +4,8 @@
 
 /* One backend server's slots for this node. */
 struct share {
-	uint32_t usable; /* may be used */
-	uint32_t target; /* once the version is settled */
+	uint32_t usable; /* in effect */
+	uint32_t target; /* in effect once the version is settled */
 };
 
 struct share_table {
@@ -30,8 +30,8 @@
 }
 
 /*
- * The least of all versions since the last one that was settled: another node
- * may have settled any of them, and counts on this node's share under it.
+ * The minimum over all versions since the last settled one: another node may
+ * have settled any of them, and relies on this node's share in it.
  */
 static void add_target(GHashTable *next, const struct share_table *table,
 		       const struct share_target *target)
--- a/packages/core/share.h
+++ b/packages/core/share.h
@@ -1,12 +1,12 @@
 /*
  * share - a node's shares of its place's slots, exact while nodes come and go
  *
- * Each version of the configuration splits every backend server's slots among
- * the place's nodes. A share that shrinks does so at once; one that grows waits
- * until all other nodes of the place have declared the same version, which
- * they do once nothing in flight is over their own share of it. Between the two
- * a node uses the smaller of both, so the sum never exceeds the slots, in
- * whatever order the versions arrive. Pure; not thread-safe.
+ * Each version of the configuration splits the slots of every backend server
+ * among the place's nodes. A share that shrinks takes effect at once. One that
+ * grows waits until all other nodes of the place have declared the same
+ * version, which they do once their requests in flight fit their own share in
+ * it. Until then a node uses the smaller share, so the sum never exceeds the
+ * slots, in whatever order the versions arrive. Pure; not thread-safe.
  */
 #ifndef CORE_SHARE_H
 #define CORE_SHARE_H
@@ -22,7 +22,7 @@
 
 struct share_table;
 
-/* This node's share of one backend server under a version. */
+/* This node's share of one backend server's slots in a version. */
 struct share_target {
 	const char *backend;
 	uint32_t slots;
@@ -31,19 +31,19 @@
 struct share_table *share_table_new(void);
 void share_table_free(struct share_table *table);
 
-/* A version came: shares that shrink do, those that grow wait. */
+/* Applies a newer version: smaller shares take effect, larger ones wait. */
 void share_table_apply_version(struct share_table *table, uint64_t version,
 			       const struct share_target *targets,
 			       uint32_t count);
 
-/* All other nodes have declared the version: take the shares whole. */
+/* All other nodes have declared the version: larger shares take effect, too. */
 void share_table_settle(struct share_table *table, uint64_t version);
 
 /* Slots of the backend server that may be used now. */
 uint32_t share_table_slots(const struct share_table *table,
 			   const char *backend);
 
-/* Whether the shares of the present version are taken whole. */
+/* Whether all shares of the current version are in effect. */
 bool share_table_is_settled(const struct share_table *table);
 
 uint64_t share_table_version(const struct share_table *table);
--- a/packages/core/suspect_evidence.c
+++ b/packages/core/suspect_evidence.c
@@ -5,9 +5,8 @@
 #include "core/hash.h"
 
 /*
- * Ends of servers so close to each other may have one cause, as a failure
- * domain's loss of power. A word of another region is under way for about as
- * long.
+ * Crashes this close to each other may have one cause, such as a power failure
+ * of a failure domain. An update from another region takes about as long.
  */
 #define SIMULTANEOUS_US (60 * US_PER_MS)
 
@@ -28,7 +27,9 @@
 	       backend->unreachable_us <= crash->at_us;
 }
 
-/* The platform's list forgets a server soon after its end. */
+/*
+ * Kept in the crash: the platform's list drops a server soon after its crash.
+ */
 static void set_domain(const struct backend_table *backends,
 		       struct suspect_crash *crash)
 {
@@ -39,7 +40,7 @@
 		crash->domain = hash_text(backend->domain);
 }
 
-/* The remembered moment that it belongs to, or NULL. */
+/* Returns the recorded outage that the crash belongs to, or NULL. */
 static struct suspect_domain_outage *
 find_domain_outage(struct suspect_table *table,
 		   const struct suspect_crash *crash)
@@ -82,8 +83,8 @@
 }
 
 /*
- * Whether another server ended under it in the same moment. Each of the two may
- * have come with a word that was under way.
+ * Whether another server crashed at the same moment while running the request.
+ * Either crash may come from an update, delayed by up to SIMULTANEOUS_US.
  */
 static bool has_simultaneous_crash(const struct suspect *entry,
 				   const struct suspect_crash *crash)
@@ -98,7 +99,10 @@
 	return false;
 }
 
-/* One that was at several of a domain's servers may be what ended them. */
+/*
+ * Crashes in a domain outage don't count, unless the request ran at several of
+ * the domain's servers and may have caused it.
+ */
 static bool is_evidence(struct suspect_table *table,
 			const struct suspect *entry,
 			const struct suspect_crash *crash)
@@ -122,7 +126,7 @@
 	return entry->counted != before;
 }
 
-/* --- judgement ----------------------------------------------------------- */
+/* --- attribution --------------------------------------------------------- */
 
 uint64_t suspect_quarantine_us(uint32_t rounds)
 {
@@ -177,7 +181,7 @@
 		is_shared[i] |= has_crash_of(other, entry->crashes[i].life);
 }
 
-/* Crashes that no rival can have caused. */
+/* Crashes that no other request can have caused. */
 static uint32_t count_exclusive(const struct suspect_table *table,
 				const struct suspect *entry)
 {
@@ -193,7 +197,7 @@
 	return MIN(exclusive, entry->counted);
 }
 
-/* The most crashes that a rival has for itself. */
+/* Largest number of exclusive crashes of a request that may explain these. */
 static uint32_t max_others_exclusive(const struct suspect_table *table,
 				     const struct suspect *entry)
 {
@@ -209,14 +213,14 @@
 
 enum attribution {
 	ATTRIBUTION_OTHER,
-	ATTRIBUTION_UNDECIDED, /* as much speaks against another */
+	ATTRIBUTION_UNDECIDED, /* another request has as much evidence */
 	ATTRIBUTION_CAUSE,
 };
 
 /*
- * What stood beside a request that crashes servers may have been there each
- * time. Then the crashes that one of them has for itself decide, and where none
- * has any, the next run: suspects run one by one.
+ * A request may have run beside one that crashes servers each time. The
+ * exclusive crashes of either then decide, and if neither has any, the next
+ * run, as suspects run one at a time.
  */
 static enum attribution attribute_crashes(const struct suspect_table *table,
 					  const struct suspect *entry)
@@ -247,7 +251,7 @@
 	return latest_us;
 }
 
-/* A first quarantine stands on its crashes, later ones on a try that failed. */
+/* Re-evaluates the first quarantine; later ones rest on a failed retry. */
 static void reevaluate(const struct suspect_table *table, struct suspect *entry)
 {
 	enum attribution attribution;
@@ -277,7 +281,7 @@
 	}
 }
 
-/* --- ends of failure domains --------------------------------------------- */
+/* --- domain outages ------------------------------------------------------ */
 
 static void recount_all(struct suspect_table *table,
 			const struct backend_table *backends)
@@ -291,7 +295,7 @@
 			reevaluate(table, &table->entries[i]);
 }
 
-/* Servers of one moment: few, so that a set of their lives is an array. */
+/* Servers that crashed at one moment are few, so an array serves as a set. */
 static bool has_incarnation(const GArray *incarnations, uint32_t life)
 {
 	guint i;
@@ -309,8 +313,8 @@
 }
 
 /*
- * The lives of the crash's domain that are known to have ended with it: all,
- * and those at which one request was that was at several.
+ * Collects the servers of the crash's domain that crashed with it: all in
+ * incarnations, and in shared those with a request that ran at several of them.
  */
 static void collect_incarnations(const struct suspect_table *table,
 				 const struct suspect_crash *crash,
@@ -353,8 +357,9 @@
 }
 
 /*
- * Several servers of a domain may have ended in the same moment. A request that
- * was at two of them may be what ended these, and is often heard of last.
+ * Records a domain outage once enough servers crashed at one moment, or removes
+ * it. Servers that shared a request don't count for it: the request may have
+ * crashed them, and is often reported last.
  */
 static void update_domain_outage(struct suspect_table *table,
 				 const struct backend_table *backends,
@@ -387,8 +392,9 @@
 /* --- new crashes --------------------------------------------------------- */
 
 /*
- * Whether both may have one cause that isn't the request: at the same time, and
- * neither run began when the other server had ended.
+ * Whether both may have one cause other than the request: they are
+ * simultaneous, and the run at the later one had begun before the earlier
+ * crash.
  */
 static bool may_share_cause(const struct suspect_crash *a,
 			    const struct suspect_crash *b)
@@ -400,7 +406,10 @@
 	       last->at_us < first->at_us + last->ran_us;
 }
 
-/* Three that may have one cause don't make a quarantine; two more would. */
+/*
+ * At most two crashes that may share a cause are accepted: a third would
+ * quarantine the request for what may be a single failure.
+ */
 static bool is_new_crash(const struct suspect *entry,
 			 const struct suspect_crash *crash)
 {
@@ -418,9 +427,9 @@
 }
 
 /*
- * Place of the one to be forgotten: one that doesn't count, or the oldest. Were
- * the latest ones not remembered, those at which others had been would never be
- * followed by one that was its own.
+ * Index of the crash to replace: one that doesn't count, else the oldest.
+ * Without the latest crashes, a request whose first ones were shared with
+ * others would never get an exclusive one.
  */
 static uint32_t find_evictable_crash(struct suspect_table *table,
 				     const struct suspect *entry)
@@ -453,7 +462,6 @@
 	return true;
 }
 
-/* Whether it was one that wasn't known. */
 bool suspect_add_crash(struct suspect_table *table, struct suspect *entry,
 		       const struct backend_table *backends,
 		       const struct suspect_crash *crash)
--- a/packages/core/suspect_internal.h
+++ b/packages/core/suspect_internal.h
@@ -1,5 +1,6 @@
 /*
- * suspect_parts - what the files of suspect_table share; not for other modules
+ * suspect_internal - shared by the files of suspect_table; not for other
+ * modules
  */
 #ifndef CORE_SUSPECT_INTERNAL_H
 #define CORE_SUSPECT_INTERNAL_H
@@ -7,21 +8,24 @@
 #include "core/suspect_table.h"
 
 /*
- * suspect_evidence.c: which crashes count, and against whom. A crash is added
- * to those of the request; whether it is one that wasn't known.
+ * suspect_evidence.c decides which crashes count, and against which request.
+ * Adds a crash to a request; returns whether it is a new one.
  */
 bool suspect_add_crash(struct suspect_table *table, struct suspect *entry,
 		       const struct backend_table *backends,
 		       const struct suspect_crash *crash);
 void suspect_drop_crashes_before(struct suspect *entry, uint64_t before_us);
 
-/* Count anew those of the request that speak against it; whether it changed. */
+/*
+ * Recounts the crashes that are evidence against a request; returns whether the
+ * number changed.
+ */
 bool suspect_recount_crashes(struct suspect_table *table, struct suspect *entry,
 			     const struct backend_table *backends);
 
 /*
- * Begin and lift first quarantines of the request, and of those that were at a
- * server with it; later ones stand on a try that failed.
+ * Begins or lifts the first quarantine of the request and of those that shared
+ * a server with it. Later quarantines rest on a failed retry and stay.
  */
 void suspect_reevaluate_related(struct suspect_table *table,
 				const struct suspect *related);
--- a/packages/core/suspect_table.c
+++ b/packages/core/suspect_table.c
@@ -2,16 +2,17 @@
 
 #include <string.h>
 
-/* By how much a claim outlives its wait, for timers that are late. */
+/* A claim expires this long after its wait, since timers may be late. */
 #define CLAIM_MARGIN_US (60 * US_PER_MS)
 
-/* What was cleared is told for so long, then forgotten. */
+/* How long a cleared entry is kept, so that its update reaches the peers. */
 #define CLEARED_TTL_US (30 * US_PER_S)
 
 /*
- * How often a change of one that two servers ended under is told with beats,
- * beside the word to all at once: datagrams may be lost. Others are many, and
- * most of them innocent.
+ * Heartbeats that carry a change of a request with two crashes or more, by this
+ * node or received, besides the broadcast: datagrams may be lost. Other
+ * suspects are sent no more with heartbeats, since they are many and mostly
+ * innocent.
  */
 #define HEARTBEATS_LOCAL 5
 #define HEARTBEATS_RECEIVED 1
@@ -51,7 +52,7 @@
 	table->count--;
 }
 
-/* Less is known against the one that goes first. */
+/* Whether a is evicted first: it has less evidence against it, or is older. */
 static bool is_evicted_before(const struct suspect *a, const struct suspect *b)
 {
 	if (a->counted != b->counted)
@@ -59,7 +60,9 @@
 	return a->updated_us < b->updated_us;
 }
 
-/* A place for one more; SUSPECT_MAX_ENTRIES if all are of quarantined requests.
+/*
+ * Index of a free slot, after an eviction if need be; SUSPECT_MAX_ENTRIES if
+ * all requests are quarantined.
  */
 static uint32_t free_slot(struct suspect_table *table)
 {
@@ -81,7 +84,7 @@
 	return slot;
 }
 
-/* The entry, made where it is missing; NULL where there is no place. */
+/* Returns the entry, added if missing; NULL if there is no slot. */
 static struct suspect *find_or_add(struct suspect_table *table,
 				   uint64_t fingerprint)
 {
@@ -100,7 +103,10 @@
 	return entry;
 }
 
-/* One crash makes suspects of all that was there, most of them innocent. */
+/*
+ * With one crash all requests at the server are suspects, and most are
+ * innocent.
+ */
 static bool is_strong_suspect(const struct suspect *entry)
 {
 	return entry->rounds || entry->counted > 1;
@@ -112,8 +118,7 @@
 	entry->tells = times;
 }
 
-/* To be told to all at once, and again where one lost datagram may cost much.
- */
+/* Sent twice where the loss of one datagram may allow another crash. */
 static void schedule_broadcast(struct suspect *entry)
 {
 	entry->urgent = is_strong_suspect(entry) ? 2 : 1;
@@ -205,7 +210,7 @@
 	return !run->life;
 }
 
-/* An order of claims that all nodes agree on. */
+/* Order of claims, the same at all nodes. */
 static bool claim_precedes(const struct suspect_run *claim,
 			   const struct suspect_query *query)
 {
@@ -270,7 +275,7 @@
 {
 	struct suspect *entry = suspect_table_find(table, fingerprint);
 
-	/* Others wait for the end of a run that they were told of. */
+	/* Other nodes wait for the end of a run that they were told about. */
 	if (take_out_run(table, fingerprint, node) && entry)
 		schedule_broadcast(entry);
 }
@@ -288,7 +293,7 @@
 	return false;
 }
 
-/* --- rulings ------------------------------------------------------------ */
+/* --- decisions ---------------------------------------------------------- */
 
 static bool has_claim(struct suspect_table *table,
 		      const struct suspect_query *query, uint64_t now_us)
@@ -370,7 +375,7 @@
 	return true;
 }
 
-/* --- words -------------------------------------------------------------- */
+/* --- updates ------------------------------------------------------------ */
 
 static bool is_valid(const struct suspect_update *update)
 {
@@ -414,7 +419,7 @@
 	return changed;
 }
 
-/* A neighbour's word alone quarantines nothing: its crashes have to count. */
+/* A peer's update quarantines nothing by itself: its crashes have to count. */
 static bool apply_quarantine(struct suspect *entry,
 			     const struct suspect_update *update,
 			     uint64_t now_us)
--- a/packages/core/suspect_table.h
+++ b/packages/core/suspect_table.h
@@ -1,22 +1,23 @@
 /*
  * suspect_table - requests that are suspected of crashing backend servers
  *
- * A request that was at work at a backend server when that ended is suspected,
- * by its fingerprint, and so is each that was there beside it. A suspect runs
- * once at a time in all that can be reached, away from other suspects if that
- * can be had; after a second crash only so, where little is at work, and once
- * its node's claim to run it has been heard by all. An answer of a server
- * clears it. One that SUSPECT_QUARANTINE_CRASHES servers ended under is
- * quarantined, unless another that was there explains these crashes: no node
- * sends it, until one node tries it once after a long time, which doubles with
- * each crash.
+ * A request that was running at a backend server when the server crashed is a
+ * suspect, identified by its fingerprint; so is each other request that was
+ * running there. A suspect runs at most once at a time over all nodes that can
+ * be reached, and away from other suspects if possible. After a second crash it
+ * runs only away from other suspects, at a server with few requests, and only
+ * once its node's claim to run it has reached all nodes. An answer of a server
+ * clears it. A request with SUSPECT_QUARANTINE_CRASHES crashes is quarantined,
+ * unless another request that ran at the same servers explains them: no node
+ * sends it until one node retries it after a long time, which doubles with each
+ * further crash.
  *
- * Crashes count by the server's life, once each, whoever tells of them, so
- * words of other nodes may come twice, late or in any order. A server that
- * answered what was sent to it after it was said to have ended did not; what
- * ran at servers of a failure domain that ended together isn't suspected. The
- * table is of fixed size; a quarantined request is never pushed out. Not
- * thread-safe. Times are those of the clock port.
+ * A crash is identified by the server's incarnation and counts once, whichever
+ * node reports it, so updates of other nodes may come twice, late or in any
+ * order. A server that answers a request sent after its reported crash did not
+ * crash. Requests that ran at servers of a failure domain that failed as a
+ * whole are not suspected. The table has a fixed size; a quarantined request is
+ * never evicted. Not thread-safe. Times are those of the clock port.
  */
 #ifndef CORE_SUSPECT_TABLE_H
 #define CORE_SUSPECT_TABLE_H
@@ -31,122 +32,126 @@
 extern "C" {
 #endif
 
-/* Requests in the table, and runs of theirs that are known of. */
+/* Capacity of the table: suspects, and runs of suspects. */
 #define SUSPECT_MAX_ENTRIES 512
 #define SUSPECT_MAX_RUNS 64
 
 /*
- * Servers that end under a request before it is quarantined, and those that are
- * remembered of it: one may turn out not to count.
+ * Crashes that quarantine a request, and crashes that are kept for each: one
+ * more, as one may turn out not to count.
  */
 #define SUSPECT_QUARANTINE_CRASHES 3
 #define SUSPECT_MAX_CRASHES 4
 
 /*
- * So many servers of a failure domain that end together, and half of them all,
- * have a cause in common, and it isn't what ran there. A few at a time end
- * where several requests crash servers at once.
+ * Servers of a failure domain that have to crash together, and be at least half
+ * of the domain, to be taken for an outage of the domain that no request
+ * caused. Fewer also crash together where several requests crash servers at
+ * once.
  */
 #define SUSPECT_DOMAIN_OUTAGE_SERVERS 3
 
-/* Such moments that are remembered. */
+/* Domain outages that are remembered. */
 #define SUSPECT_MAX_DOMAIN_OUTAGES 16
 
-/* The first quarantine, and how often it may double. */
+/*
+ * Length of the first quarantine, and the round from which on it no longer
+ * doubles.
+ */
 #define SUSPECT_QUARANTINE_US (300 * US_PER_S)
 #define SUSPECT_MAX_ROUNDS 8
 
-/* A request that isn't heard of for so long is forgotten. */
+/* A request without any change for this long is removed. */
 #define SUSPECT_TTL_US (1800 * US_PER_S)
 
-/* A word from one region to another is there by then, gathering included. */
+/* Longest time for an update to reach another region, batching included. */
 #define SUSPECT_UPDATE_DELAY_US (70 * US_PER_MS)
 
 /*
- * How long a claim waits: for its word to arrive, and for that of any claim
- * made before it did.
+ * How long a node waits after a claim: until its update has arrived everywhere,
+ * and that of any claim made before that.
  */
 #define SUSPECT_CLAIM_WAIT_US (2 * SUSPECT_UPDATE_DELAY_US)
 
-/* Longest run that a word may tell of. */
+/* Longest remaining run that an update may state. */
 #define SUSPECT_MAX_RUN_US (60 * US_PER_S)
 
-/* What of a request is kept for operators, with the NUL. */
+/* Size of the request's description for operators, with the NUL. */
 #define SUSPECT_TEXT_SIZE 96
 
 struct suspect_crash {
 	uint32_t life; /* of the backend server */
-	uint32_t domain; /* hash of its failure domain; 0: not known */
+	uint32_t domain; /* hash of its failure domain; 0: unknown */
 	uint64_t at_us;
-	uint64_t ran_us; /* how long the request had been there */
+	uint64_t ran_us; /* how long the request had been running there */
 };
 
 struct suspect {
 	uint64_t fingerprint;
 	struct suspect_crash crashes[SUSPECT_MAX_CRASHES];
 	uint32_t crash_count;
-	uint32_t counted; /* of these, the ones that speak against it */
-	uint32_t rounds; /* quarantines in a row; 0: none */
-	bool by_hand; /* an operator's, without crashes */
-	bool seen_locally; /* this node saw a server end under it */
-	uint8_t urgent; /* times it is still told to all at once */
-	uint8_t tells; /* times it is still told with a beat */
+	uint32_t counted; /* crashes that count as evidence */
+	uint32_t rounds; /* consecutive quarantines; 0: none */
+	bool by_hand; /* quarantined by an operator, without crashes */
+	bool seen_locally; /* this node saw a server crash while running it */
+	uint8_t urgent; /* broadcasts to all nodes that are due */
+	uint8_t tells; /* heartbeats that still carry it */
 	uint64_t until_us; /* end of the latest quarantine */
-	uint64_t cleared_us; /* crashes before don't count */
-	uint64_t updated_us; /* something was learned of it */
-	char text[SUSPECT_TEXT_SIZE]; /* method and path; "": not known here */
+	uint64_t cleared_us; /* crashes up to then don't count */
+	uint64_t updated_us; /* time of the last change */
+	char text[SUSPECT_TEXT_SIZE]; /* method and path; "": unknown at this
+					 node */
 };
 
-/* A suspect that a server is at work at, or that a node claims to run next. */
+/* A suspect that is running at a server, or that a node claims to run next. */
 struct suspect_run {
 	uint64_t fingerprint;
 	uint32_t node; /* hash of the name of the node that sent it */
-	uint32_t life; /* 0: a claim, no server has been chosen yet */
-	uint64_t until_us; /* it has ended by then */
-	bool apart; /* others should keep away from it */
+	uint32_t life; /* of the server; 0: a claim, no server chosen yet */
+	uint64_t until_us; /* ends by then at the latest */
+	bool apart; /* other suspects keep away from its server */
 };
 
-/* A moment in which several servers of a failure domain ended. */
+/* A moment at which several servers of a failure domain crashed. */
 struct suspect_domain_outage {
 	uint32_t domain; /* hash of its name */
 	uint64_t at_us;
 };
 
 struct suspect_table {
-	uint64_t keys[SUSPECT_MAX_ENTRIES]; /* fingerprints of entries; 0: free
-					     */
+	uint64_t keys[SUSPECT_MAX_ENTRIES]; /* fingerprints; 0: free */
 	struct suspect entries[SUSPECT_MAX_ENTRIES];
 	uint32_t count;
 	struct suspect_run runs[SUSPECT_MAX_RUNS];
 	uint32_t run_count;
-	uint32_t told; /* where the round over what is told goes on */
+	uint32_t told; /* index at which the next heartbeat goes on */
 	struct suspect_domain_outage domain_outages[SUSPECT_MAX_DOMAIN_OUTAGES];
-	uint32_t domain_outage_next; /* to be overwritten */
+	uint32_t domain_outage_next; /* next index to be overwritten */
 };
 
 enum suspect_verdict {
-	SUSPECT_NONE, /* nothing is known against it */
-	SUSPECT_MAY_RUN, /* it may run; no other run of it is under way */
-	SUSPECT_RUNNING, /* another run of it hasn't ended */
+	SUSPECT_NONE, /* not a suspect */
+	SUSPECT_MAY_RUN, /* may run; no other run is in progress */
+	SUSPECT_RUNNING, /* another run is in progress */
 	SUSPECT_QUARANTINED,
 };
 
-/* Who asks what may be done with which request. */
+/* Asks whether a request may run. */
 struct suspect_query {
 	uint64_t fingerprint;
-	uint32_t node; /* hash of the name of the one that asks */
-	bool is_prober; /* it tries the request after a quarantine has ended */
-	bool has_claimed; /* the request, and waited since */
+	uint32_t node; /* hash of the name of the node that asks */
+	bool is_prober; /* retries the request after a quarantine */
+	bool has_claimed; /* has claimed the request and waited since */
 };
 
 struct suspect_decision {
 	enum suspect_verdict verdict;
-	bool apart; /* only where no other suspect is at work */
-	bool claims; /* it may be claimed, not run yet; see suspect_claim() */
+	bool apart; /* run only at servers without other suspects */
+	bool claims; /* claim it and don't run it yet; see suspect_claim() */
 	uint64_t left_us; /* of the quarantine */
 };
 
-/* What one node tells another of a suspect; times are ages. */
+/* What one node sends another about a suspect. Times are ages. */
 struct suspect_update {
 	uint64_t fingerprint;
 	struct {
@@ -160,67 +165,77 @@
 	bool by_hand;
 	bool cleared;
 	uint64_t cleared_age_us;
-	uint32_t run_incarnation; /* where the teller has it at work */
-	uint64_t run_left_us; /* 0: the teller has no run of it */
+	uint32_t run_incarnation; /* where the sender runs it; 0: a claim */
+	uint64_t run_left_us; /* 0: the sender neither runs nor claims it */
 };
 
 struct suspect_table *suspect_table_new(void);
 void suspect_table_free(struct suspect_table *table);
 
-/* The entry, or NULL. */
+/* Returns the entry, or NULL. */
 struct suspect *suspect_table_find(struct suspect_table *table,
 				   uint64_t fingerprint);
 
-/* Whether it is quarantined, or waits for its try after that. */
+/*
+ * Whether it is quarantined, or its quarantine is over and it wasn't retried
+ * yet.
+ */
 bool suspect_is_quarantined(struct suspect_table *table, uint64_t fingerprint);
 
-/* What may be done with a request. */
+/* Decides what may be done with a request. */
 void suspect_decide(struct suspect_table *table,
 		    const struct suspect_query *query,
 		    const struct backend_table *backends, uint64_t now_us,
 		    struct suspect_decision *decision);
 
 /*
- * The node is going to run the request. It asks again after
- * SUSPECT_CLAIM_WAIT_US: of several nodes that claimed it, one may run it, and
- * of several requests that are claimed, one at a time has its server chosen, so
- * that each knows where the others are at work.
+ * Claims a request that the node is going to run. The node calls
+ * suspect_decide() again after SUSPECT_CLAIM_WAIT_US: of several nodes that
+ * claimed the request one may run it, and of several claimed requests one at a
+ * time gets a server, so that each node knows where the others run.
  */
 void suspect_claim(struct suspect_table *table, uint64_t fingerprint,
 		   uint32_t node, uint64_t now_us);
 
 /*
- * A server ended while the request was at work there; whether that was new.
- * text says which request it is.
+ * A server crashed while it ran the request, seen by this node. text describes
+ * the request. Returns whether the crash is new.
  */
 bool suspect_add_own_crash(struct suspect_table *table, uint64_t fingerprint,
 			   const struct backend_table *backends,
 			   const struct suspect_crash *crash, const char *text);
 
-/* A server ran it and answered: nothing before speaks against it. */
+/*
+ * A server ran the request and answered: earlier crashes don't count any more.
+ */
 void suspect_clear(struct suspect_table *table, uint64_t fingerprint,
 		   uint64_t now_us);
 
-/* A run of a suspect begins or ends; node is this node's hash. */
+/* A run of a suspect begins or ends. node is the hash of this node's name. */
 void suspect_begin_run(struct suspect_table *table,
 		       const struct suspect_run *run);
 void suspect_end_run(struct suspect_table *table, uint64_t fingerprint,
 		     uint32_t node);
 
-/* Whether a suspect is at work at this server; isolated_only: one that others
- * keep away from. */
+/*
+ * Whether a suspect is running at this server; isolated_only: only one that
+ * other suspects keep away from.
+ */
 bool suspect_runs_on(const struct suspect_table *table, uint32_t life,
 		     bool isolated_only, uint64_t now_us);
 
-/* An operator quarantines a request, or lets one go. */
+/*
+ * Quarantines or releases a request for an operator. False if the table is full
+ * of quarantined requests, or the request isn't in it.
+ */
 bool suspect_quarantine(struct suspect_table *table, uint64_t fingerprint,
 			uint64_t now_us);
 bool suspect_release(struct suspect_table *table, uint64_t fingerprint,
 		     uint64_t now_us);
 
 /*
- * Take a neighbour's word; false where it is absurd, and then nothing changes.
- * sender is its hash.
+ * Applies an update of a peer; sender is the hash of its name. Returns false
+ * for an invalid update, which changes nothing.
  */
 bool suspect_apply_update(struct suspect_table *table,
 			  const struct suspect_update *update, uint32_t sender,
@@ -228,8 +243,9 @@
 			  uint64_t now_us);
 
 /*
- * Words to tell: those that all should hear at once, or those that go with a
- * beat; at most most. Each is told a few times, quarantines again and again.
+ * Collects up to max_count updates to send, either broadcasts to all nodes or
+ * those for a heartbeat, and returns their number. A change is sent a few
+ * times, a quarantine for as long as it lasts.
  */
 uint32_t suspect_collect_broadcast(struct suspect_table *table, uint32_t node,
 				   uint64_t now_us,
@@ -241,7 +257,7 @@
 				 uint32_t max_count);
 bool suspect_has_broadcast(const struct suspect_table *table);
 
-/* Forget what has not been heard of for long. */
+/* Removes entries without changes for a long time, and runs that are over. */
 void suspect_table_expire(struct suspect_table *table, uint64_t now_us);
 
 const char *suspect_verdict_name(enum suspect_verdict verdict);
--- a/tests/core/admission_test.cc
+++ b/tests/core/admission_test.cc
@@ -1,4 +1,6 @@
-/* Whether a short service takes a request, and when a refused one returns. */
+/*
+ * Whether a service short of slots takes a request, and when callers return.
+ */
 #include <gtest/gtest.h>
 
 #include "core/admission.h"
@@ -16,16 +18,18 @@
 	admission_verdict verdict;
 };
 
-/* The objective is 400 ms. */
+/* The latency objective is 400 ms. */
 const admission_case admission_cases[] = {
 	{ "InTime", 200, 0, 0, 1000, ADMISSION_ACCEPT },
 	{ "QueuesAndIsInTime", 390, 200, 0, 1000, ADMISSION_ACCEPT },
 	{ "QueuesAndIsALittleLate", 410, 210, 0, 1000, ADMISSION_QUEUE_LATE },
 	{ "QueuesAndIsLate", 600, 400, 0, 1000, ADMISSION_QUEUE_LATE },
 	{ "IsLateByWhatItSpent", 390, 200, 200, 800, ADMISSION_QUEUE_LATE },
-	/* A free slot warms the object; nobody waits for it. */
+	/*
+	 * A free slot warms the cache for the object, and nobody waits for it.
+	 */
 	{ "IsLateInAFreeSlot", 700, 0, 0, 1000, ADMISSION_ACCEPT },
-	/* It would hold a slot and bring nothing. */
+	/* It would use a slot for an answer that comes too late. */
 	{ "MissesItsDeadline", 700, 0, 400, 600, ADMISSION_TOO_LATE },
 	{ "QueuesPastItsDeadline", 1100, 600, 0, 1000, ADMISSION_TOO_LATE },
 };
@@ -50,7 +54,7 @@
 			 ::testing::ValuesIn(admission_cases),
 			 [](const auto &info) { return info.param.name; });
 
-/* Callers wait a third of their time at most, and don't return together. */
+/* Callers wait a third of their patience at most, and don't return together. */
 TEST(AdmissionRetryTest, CallersReturnWithinAThirdOfTheirTime)
 {
 	const uint64_t patience_us = 3 * US_PER_S;
@@ -67,7 +71,10 @@
 	EXPECT_GT(admission_retry_after_us(0, 0.5), 0u);
 }
 
-/* Those who wait for a rate would all return for the same few tokens. */
+/*
+ * Guards against all callers that wait for a rate returning for the same
+ * tokens.
+ */
 TEST(AdmissionRetryTest, CallersReturnAsTheRateAllows)
 {
 	const uint64_t patience_us = 12 * US_PER_S;
@@ -78,7 +85,7 @@
 		EXPECT_EQ(i * US_PER_S / 2,
 			  admission_schedule_retry_us(&returns, 2, patience_us,
 						      0.5, now_us));
-	/* The rate is spoken for as long as callers wait. */
+	/* The rate is taken for as long as callers wait. */
 	for (int i = 0; i < 20; i++)
 		admission_schedule_retry_us(&returns, 2, patience_us, 0.5,
 					    now_us);
@@ -89,7 +96,7 @@
 	EXPECT_LE(admission_schedule_retry_us(&returns, 2, patience_us, 0.5,
 					      now_us),
 		  2500 * US_PER_MS);
-	/* None comes in time. */
+	/* No retry at the rate comes in time. */
 	EXPECT_EQ(admission_retry_after_us(patience_us, 0.1),
 		  admission_schedule_retry_us(&returns, 0.01, patience_us, 0.1,
 					      now_us));
--- a/tests/core/budget_test.cc
+++ b/tests/core/budget_test.cc
@@ -7,7 +7,7 @@
 	uint32_t share_permille;
 	uint32_t burst;
 	int earned;
-	int granted; /* of attempts asked for right after */
+	int granted; /* of the attempts made right after */
 };
 
 class BudgetTable : public testing::TestWithParam<budget_case>
@@ -15,9 +15,8 @@
 };
 
 /*
- * A user would see a short overload turn into a long one: each refused request
- * is sent again, the extra attempts are refused too, and so on. The cause is
- * retrying without a limit; the budget is to pay for a share and no more.
+ * Guards against retries that prolong an overload: without a limit, each
+ * refused request is sent again, and the extra attempts are refused as well.
  */
 TEST_P(BudgetTable, PaysForItsShareAndNoMore)
 {
--- a/tests/core/fingerprint_test.cc
+++ b/tests/core/fingerprint_test.cc
@@ -1,4 +1,6 @@
-/* Which requests count as the same, and which don't. */
+/*
+ * Which requests count as equal.
+ */
 #include <cstring>
 #include <string>
 
--- a/tests/core/rate_limit_test.cc
+++ b/tests/core/rate_limit_test.cc
@@ -1,4 +1,6 @@
-/* Rates that backend servers name: how they are read, believed and shared. */
+/*
+ * Rates that backend servers report: parsing, updates, sharing and borrowing.
+ */
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -20,7 +22,7 @@
 struct parse_case {
 	const char *name;
 	std::string text;
-	double per_s; /* 0: refused */
+	double per_s; /* 0: invalid */
 };
 
 const parse_case parse_cases[] = {
@@ -61,11 +63,11 @@
 INSTANTIATE_TEST_SUITE_P(RateLimit, ParseTest, ::testing::ValuesIn(parse_cases),
 			 [](const auto &info) { return info.param.name; });
 
-/* Words on one server's rate in the order in which they come. */
+/* Reports of one server's rate in the order in which they arrive. */
 struct rate_step {
-	char from; /* 'a'nswer or 'w'ord of a neighbour */
+	char from; /* 'a': answer of the server, 'w': update of a peer */
 	double per_s;
-	uint64_t when_s; /* asked for, or learned by the neighbour */
+	uint64_t when_s; /* request was sent, or the peer learned the rate */
 	uint64_t now_s;
 	double expected_per_s;
 };
@@ -127,7 +129,7 @@
 			 ::testing::ValuesIn(rate_cases),
 			 [](const auto &info) { return info.param.name; });
 
-/* A request that was chosen for the server and never sent costs it nothing. */
+/* A request that is chosen for the server but not sent uses no token. */
 TEST(RateLimitTest, UnsentRequestReturnsItsToken)
 {
 	struct rate_limit limit = {};
@@ -142,14 +144,17 @@
 	rate_limit_give_back(&limit, now_us);
 	EXPECT_DOUBLE_EQ(1, rate_limit_tokens(&limit, now_us));
 	EXPECT_EQ(0u, limit.sent);
-	/* A full bucket doesn't run over. */
+	/* A full bucket doesn't overflow. */
 	now_us += 100 * US_PER_S;
 	double full = rate_limit_tokens(&limit, now_us);
 	rate_limit_give_back(&limit, now_us);
 	EXPECT_DOUBLE_EQ(full, rate_limit_tokens(&limit, now_us));
 }
 
-/* A borrowed token is used once, in time, and goes back if it wasn't sent. */
+/*
+ * A borrowed token serves one request and expires; an unsent request returns
+ * it.
+ */
 TEST(RateLimitTest, BorrowedTokenIsUsedOnceAndExpires)
 {
 	struct rate_limit limit = {};
@@ -173,7 +178,7 @@
 	EXPECT_FALSE(rate_limit_allows(&limit, now_us + US_PER_S));
 }
 
-/* One sender without a token is passed over, a second one is waited for. */
+/* After one refusal another holder is asked, after two the node waits. */
 TEST(RateLimitTest, TwoRefusalsPauseBorrowing)
 {
 	struct rate_limit limit = {};
@@ -191,7 +196,7 @@
 	EXPECT_TRUE(rate_limit_may_borrow(&limit, now_us + 200000));
 }
 
-/* Each change of a rate that flaps would be told to all nodes. */
+/* Guards against broadcasting each change of a rate that flaps. */
 TEST(RateLimitTest, FlappingRateStaysAtTheLowerValue)
 {
 	struct rate_limit limit = {};
@@ -209,7 +214,7 @@
 	EXPECT_TRUE(rate_limit_apply_answer(&limit, 9, now_us - 5000, now_us));
 }
 
-/* The same where its answers go to different nodes. */
+/* The same with changes that come as updates of peers. */
 TEST(RateLimitTest, FlappingRateInPeerUpdatesChangesSeldom)
 {
 	struct rate_limit limit = {};
@@ -224,7 +229,7 @@
 	EXPECT_LE(changes, 70);
 }
 
-/* All that was held back from a server comes to it in one moment. */
+/* Guards against all held-back requests reaching the server at once. */
 TEST(RateLimitTest, TrafficRampsUpAfterTheLimitIsLifted)
 {
 	struct rate_limit limit = {};
@@ -248,8 +253,7 @@
 	EXPECT_FALSE(rate_limit_is_limited(&limit, now_us + 2 * US_PER_S));
 }
 
-/* All nodes of three regions beside one server of the first that names a rate.
- */
+/* Nodes of three regions, and one server in the first that reports a rate. */
 class RateFleet
 {
       public:
@@ -265,8 +269,8 @@
 			member_table_free(node.members);
 	}
 	/*
-	 * Demand of five times the rate, evenly over one region. A node without
-	 * a token asks a sender.
+	 * Demand is five times the rate, spread evenly over the nodes of one
+	 * region. A node without a token asks a holder.
 	 */
 	void play_for(double seconds)
 	{
@@ -307,7 +311,7 @@
 			node.shared_us = 0;
 		}
 	}
-	/* A node that the others learn of up to two seconds later. */
+	/* Adds a node that the others learn of up to two seconds later. */
 	void add_node()
 	{
 		int count = (int)all.size();
@@ -317,7 +321,7 @@
 			all[i].learns_us = now_us + random() % 2000000;
 		restart(count);
 	}
-	/* The most that came in any 4 s from then on. */
+	/* Largest number of requests in any 4 s after from_us. */
 	size_t most(uint64_t from_us) const
 	{
 		size_t most = 0;
@@ -338,13 +342,13 @@
 	}
 	double per_s;
 	double demand_per_s;
-	int region_at = 0; /* where the demand is; the server is in 0 */
-	bool is_cut = false; /* even nodes from odd ones */
+	int region_at = 0; /* region of the demand; the server is in 0 */
+	bool is_cut = false; /* even nodes are partitioned from odd ones */
 	uint64_t now_us = 100 * US_PER_S;
 	std::mt19937 random;
 
       private:
-	/* Nodes of the region where the demand is. */
+	/* Nodes of the region with the demand. */
 	size_t nodes_there() const
 	{
 		return (all.size() + 2 - (size_t)region_at) / 3;
@@ -361,7 +365,10 @@
 		uint32_t lent;
 		uint64_t wait_us;
 	};
-	/* Between regions 55 ms more; nothing crosses a cut. */
+	/*
+	 * Delivery takes 55 ms more between regions, and fails across a
+	 * partition.
+	 */
 	void post(const Message &message)
 	{
 		uint64_t round_trip_us = 1000 + random() % 3000;
@@ -496,7 +503,7 @@
 			put(node.members, other);
 		all.push_back(node);
 	}
-	/* Who lives is heard of all the time, but across a cut. */
+	/* Every member is heard all the time, except across the partition. */
 	void keep_heard(Node &node)
 	{
 		GHashTableIter iter;
@@ -521,7 +528,7 @@
 			put(node.members, (int)all.size() - 1);
 			node.learns_us = 0;
 		}
-		/* As a node does, some times a second. */
+		/* As a node does, a few times a second. */
 		if (now_us - node.shared_us < 200000)
 			return;
 		node.shared_us = now_us;
@@ -545,7 +552,7 @@
 class RateFleetTest : public ::testing::TestWithParam<fleet_case>
 {
       protected:
-	/* More by hand: LILACFIELD_SEEDS. */
+	/* More seeds by LILACFIELD_SEEDS. */
 	static int seeds()
 	{
 		const char *count = g_getenv("LILACFIELD_SEEDS");
@@ -556,7 +563,7 @@
 	{
 		return 1.2 * 4 * per_s + 5;
 	}
-	/* A fleet beside a server that has just named the case's rate. */
+	/* A fleet with a server that has just reported the case's rate. */
 	void for_each_seed(const std::function<void(RateFleet &)> &play)
 	{
 		const fleet_case &c = GetParam();
@@ -570,7 +577,7 @@
 	}
 };
 
-/* All together send no more than the rate, and a burst, in any 4 s. */
+/* All nodes together send no more than the rate and a burst in any 4 s. */
 TEST_P(RateFleetTest, TheSumStaysWithinTheRate)
 {
 	for_each_seed([](RateFleet &fleet) {
@@ -579,7 +586,7 @@
 	});
 }
 
-/* Where there is demand the rate is used, though few nodes are senders. */
+/* The demand uses up the rate, although few nodes are quota holders. */
 TEST_P(RateFleetTest, TheRateIsUsed)
 {
 	if (GetParam().per_s < 2)
@@ -592,7 +599,7 @@
 	});
 }
 
-/* One, a third and all restarted, others frozen, one added meanwhile. */
+/* One node, then a third, then all restart; others freeze; one is added. */
 TEST_P(RateFleetTest, TheSumHoldsThroughRestartsAndFreezes)
 {
 	const int nodes = GetParam().nodes;
@@ -614,7 +621,7 @@
 	});
 }
 
-/* Halved, the bound of the lower rate holds a second later. */
+/* After the rate is halved, the lower bound holds from a second later. */
 TEST_P(RateFleetTest, LowerRateHoldsAfterOneSecond)
 {
 	for_each_seed([](RateFleet &fleet) {
@@ -626,7 +633,7 @@
 	});
 }
 
-/* Demand moves to another region within a second, and the rate with it. */
+/* Demand moves to another region, and within seconds the rate follows. */
 TEST_P(RateFleetTest, TheRateFollowsDemandToAnotherRegion)
 {
 	for_each_seed([](RateFleet &fleet) {
@@ -642,7 +649,7 @@
 	});
 }
 
-/* Two halves that can't hear each other, for longer than a beat's silence. */
+/* Two halves without contact, for longer than the heartbeat timeout. */
 TEST_P(RateFleetTest, TheSumHoldsDuringAPartition)
 {
 	for_each_seed([](RateFleet &fleet) {
@@ -655,7 +662,7 @@
 	});
 }
 
-/* Gone, it is filled within seconds and not in one moment. */
+/* After the limit is lifted, traffic rises within seconds, not at once. */
 TEST_P(RateFleetTest, TrafficRampsUpAfterTheRateIsLifted)
 {
 	for_each_seed([](RateFleet &fleet) {
--- a/tests/core/share_test.cc
+++ b/tests/core/share_test.cc
@@ -24,7 +24,7 @@
 	change(table, 2, 1);
 	EXPECT_EQ(1u, share_table_slots(table, "b"));
 	EXPECT_FALSE(share_table_is_settled(table));
-	/* Settled by others at version 2, which this node passed through. */
+	/* Others may have settled version 2, which this node had passed. */
 	change(table, 3, 3);
 	EXPECT_EQ(1u, share_table_slots(table, "b"));
 	share_table_settle(table, 2);
@@ -35,7 +35,7 @@
 	share_table_free(table);
 }
 
-/* Several nodes of one place over one backend server, in a drawn order. */
+/* Nodes of one place that share one backend server, in random order. */
 class Place
 {
       public:
@@ -46,7 +46,7 @@
 	{
 		for (auto &node : nodes_)
 			node.table = share_table_new();
-		members_.push_back(0); /* version 0: nobody */
+		members_.push_back(0); /* version 0: no nodes */
 	}
 
 	~Place()
@@ -65,17 +65,17 @@
 			if (draw(16) == 0)
 				members_.push_back(draw(1 << NODES));
 			break;
-		case 1: /* it reads some newer version, perhaps not each one */
+		case 1: /* it reads a newer version, perhaps skipping some */
 			take_version(node, index,
 				     members_.size() - 1 -
 					     draw(std::min<size_t>(
 						     3, members_.size())));
 			break;
-		case 2: /* it restarts and knows nothing */
+		case 2: /* it restarts and loses its state */
 			if (draw(32) == 0)
 				restart(node);
 			break;
-		case 3: /* its report reaches the others, maybe an old one */
+		case 3: /* its report reaches the others, perhaps an old one */
 			node.declared = declares(node);
 			break;
 		case 4:
@@ -85,7 +85,7 @@
 			if (node.in_flight)
 				node.in_flight--;
 			break;
-		default: /* a request starts where the share allows */
+		default: /* a request starts if the share allows it */
 			if (node.in_flight < share_table_slots(node.table, "b"))
 				node.in_flight++;
 		}
@@ -104,7 +104,7 @@
 	struct node_state {
 		struct share_table *table;
 		uint32_t in_flight = 0;
-		uint64_t declared = 0; /* as the others last heard */
+		uint64_t declared = 0; /* as last received by the others */
 	};
 
 	uint32_t draw(uint32_t below)
@@ -132,7 +132,7 @@
 					      0);
 	}
 
-	/* What runs at its backend server ends with the process. */
+	/* Its requests at the backend server end with the process. */
 	void restart(struct node_state &node)
 	{
 		share_table_free(node.table);
@@ -163,10 +163,10 @@
 };
 
 /*
- * A depot's old VM with three slots gets four orders at a time and drops them
- * all. A third node was added to the place; it took its share when it read the
- * new version, while a sibling was still on the old one and used the old,
- * larger share.
+ * Guards against sending a backend server more requests than its slots, which
+ * it drops all. This happens if a node added to a place takes its share as soon
+ * as it reads the new version, while another node still uses its larger share
+ * of the old version.
  */
 TEST(Share, SumNeverExceedsTheSlotsInAnyOrder)
 {
@@ -182,6 +182,6 @@
 			most = std::max(most, place.in_flight());
 		}
 	}
-	/* And the slots do get used. */
+	/* All slots do get used. */
 	EXPECT_EQ(Place::SLOTS, most);
 }
--- a/tests/core/suspect_fleet.h
+++ b/tests/core/suspect_fleet.h
@@ -1,10 +1,10 @@
 /*
- * suspect_fleet - nodes with tables of suspects in virtual time
+ * suspect_fleet - simulates nodes with tables of suspects in virtual time
  *
- * Words are under way, some are lost, and callers bring a request that crashes
- * whatever server runs it to any node, beside others that crash nothing. What
- * each crash broke off is kept, so that a request that was judged wrongly can
- * be told from what stood beside it.
+ * Updates between nodes are delayed and some are lost. Callers send deadly
+ * requests, which crash every server that runs them, and harmless ones to
+ * random nodes. The runs that each crash broke off are recorded, to show why a
+ * request was quarantined wrongly.
  */
 #ifndef TESTS_CORE_SUSPECT_FLEET_H
 #define TESTS_CORE_SUSPECT_FLEET_H
@@ -22,8 +22,8 @@
 #include "core/suspect_table.h"
 
 inline const uint64_t STEP_US = US_PER_MS;
-inline const uint64_t DEADLY = 1; /* to DEADLY + the number of deadly requests
-				   */
+inline const uint64_t DEADLY = 1; /* deadly requests have the fingerprints from
+				     here on */
 inline const int REGIONS = 3;
 inline const int DOMAINS = 3;
 inline const int NEAR_PEERS = 12;
@@ -31,23 +31,23 @@
 inline const uint64_t NEAR_US = US_PER_MS;
 inline const uint64_t FAR_US = 55 * US_PER_MS;
 inline const double LOSS = 0.01;
-inline const uint64_t DRAIN_US = 4 * US_PER_S; /* what runs at the end is
+inline const uint64_t DRAIN_US = 4 * US_PER_S; /* for the runs at the end to be
 						  answered */
 
 struct fleet_case {
 	std::string name;
 	int nodes;
 	int servers;
-	int deadly; /* requests that crash servers */
-	double deadly_per_s; /* each of them */
+	int deadly; /* number of requests that crash servers */
+	double deadly_per_s; /* of each deadly request */
 	bool bunched; /* at random times, not evenly */
-	double harmless_per_s; /* for each server */
-	double crashes_per_s; /* of servers by themselves */
-	bool power; /* a third of the servers end at once, three times */
-	bool kill_all; /* nodes die at 5 s; the store's rows stay */
-	bool partition; /* a region is cut off from 1 to 6 s */
-	int max_crashes; /* under each deadly request */
-	int max_late_runs; /* runs of one later than 1 s after its third crash
+	double harmless_per_s; /* per server */
+	double crashes_per_s; /* of servers, without a request as cause */
+	bool power; /* a third of the servers crash at once, every 3 s */
+	bool kill_all; /* all nodes die at 5 s; the stored quarantines remain */
+	bool partition; /* a region is partitioned from 1 to 6 s */
+	int max_crashes; /* by each deadly request */
+	int max_late_runs; /* of a request, more than 1 s after its third crash
 			    */
 };
 
@@ -93,7 +93,7 @@
 				count += is_falsely_quarantined(*node, i);
 		return count;
 	}
-	/* The crashes of requests that were judged wrongly, a line each. */
+	/* Crashes of requests that were handled wrongly, one line each. */
 	std::string wrong_history() const
 	{
 		std::set<uint64_t> wrong;
@@ -115,15 +115,15 @@
 
 	struct Stats {
 		int crashes = 0;
-		int late = 0; /* runs after its third crash and 1 s */
+		int late = 0; /* more than 1 s after its third crash */
 		uint64_t third_us = 0;
 	};
 	static const uint64_t START_US = 1000 * US_PER_S;
 	uint64_t now_us = START_US;
 	std::vector<Stats> stats;
-	int shared = 0; /* harmless ones whose server crashed */
+	int shared = 0; /* harmless requests whose server crashed */
 	int shared_served = 0;
-	std::vector<uint64_t> served_after_us; /* their first crash */
+	std::vector<uint64_t> served_after_us; /* time from their first crash */
 
       private:
 	struct Update {
@@ -134,11 +134,10 @@
 	struct Node {
 		struct suspect_table *table = suspect_table_new();
 		int region;
-		uint64_t broadcast_at_us = 0; /* when it tells urgent words; 0:
-					       * none
-					       */
+		uint64_t broadcast_at_us = 0; /* time of the next broadcast; 0:
+						 none */
 		uint64_t beat_us;
-		uint64_t ready_us = 0; /* refuses all before */
+		uint64_t ready_us = 0; /* refuses all requests before */
 		~Node()
 		{
 			suspect_table_free(table);
@@ -153,13 +152,13 @@
 		bool shared;
 		bool noted;
 		bool claimed;
-		uint64_t broke_us; /* first; 0: never */
+		uint64_t broke_us; /* first crash; 0: none */
 	};
 	struct Crash {
 		uint64_t at_us;
 		uint32_t life;
-		uint64_t culprit; /* 0: none */
-		std::vector<Run> runs; /* that it broke off */
+		uint64_t culprit; /* deadly request that caused it; 0: none */
+		std::vector<Run> runs; /* broken off by the crash */
 
 		bool concerns(const std::set<uint64_t> &fingerprints) const
 		{
@@ -196,7 +195,7 @@
 		int number;
 		std::string id;
 		uint32_t life;
-		uint64_t back_us = 0; /* it is down until then */
+		uint64_t back_us = 0; /* down until then */
 		std::vector<Run> runs;
 	};
 
@@ -207,7 +206,10 @@
 		nodes_.back()->beat_us =
 			now_us + (uint64_t)below(400) * US_PER_MS;
 	}
-	/* A server's next life; power goes by failure domain. */
+	/*
+	 * Starts the server's next incarnation; a power failure hits one
+	 * domain.
+	 */
 	void start(Server &server)
 	{
 		std::string domain =
@@ -281,7 +283,7 @@
 				       (size_t)below(case_.nodes), 0, 0, 0,
 				       false, false, false, 0 });
 	}
-	/* As the choice of a server weighs suspects. */
+	/* Chooses a server as the product does for suspects. */
 	Server *pick(const Node &node, const struct suspect_decision &decision)
 	{
 		bool is_suspect = decision.verdict == SUSPECT_MAY_RUN;
@@ -462,7 +464,7 @@
 			crash(server, nullptr);
 	}
 
-	/* --- words ------------------------------------------------------ */
+	/* --- updates ---------------------------------------------------- */
 
 	void schedule_broadcast(Node &node)
 	{
@@ -540,7 +542,7 @@
 		}
 	}
 
-	/* --- the store -------------------------------------------------- */
+	/* --- stored quarantines ----------------------------------------- */
 
 	void store_quarantine(const Node &node, uint64_t fingerprint)
 	{
@@ -550,7 +552,7 @@
 		if (suspect && suspect->rounds && suspect->seen_locally)
 			stored_.insert(fingerprint);
 	}
-	/* A request that is no longer quarantined loses its row. */
+	/* The stored row of a request goes when its quarantine is lifted. */
 	void drop_rows(const Node &node)
 	{
 		for (auto at = stored_.begin(); at != stored_.end();) {
@@ -569,8 +571,9 @@
 		return node < 2 * REGIONS;
 	}
 	/*
-	 * All start anew after a second; the first two of each region read the
-	 * rows, the others are ready once these have told them of the tables.
+	 * All nodes restart after a second. The first two of each region read
+	 * the stored quarantines; the others are ready after updates from
+	 * these.
 	 */
 	void kill_all()
 	{
@@ -593,7 +596,7 @@
 							   fingerprint, now_us);
 		}
 	}
-	/* As a reader answers a beat of a node that isn't ready. */
+	/* As a reader answers a heartbeat of a node that isn't ready. */
 	void update_starting_node(size_t to)
 	{
 		struct suspect_update updates[10];
@@ -622,7 +625,7 @@
 	std::vector<std::unique_ptr<Node>> nodes_;
 	std::vector<Server> servers_;
 	std::vector<Retry> retries_;
-	std::multimap<uint64_t, Update> posted_; /* by when they arrive */
+	std::multimap<uint64_t, Update> posted_; /* by time of arrival */
 	std::vector<Crash> history_;
 	std::set<uint64_t> stored_;
 	bool ending_ = false;
--- a/tests/core/suspect_fleet_test.cc
+++ b/tests/core/suspect_fleet_test.cc
@@ -1,21 +1,21 @@
 /*
- * A request that crashes whatever server runs it, brought to any node of a
- * fleet: it is contained, and nobody else pays.
+ * Requests that crash every server that runs them, sent to random nodes of a
+ * fleet: the number of crashes is bounded, and no other request suffers.
  */
 #include "core/suspect_fleet.h"
 
 namespace
 {
 
-/* More by hand, and others: LILACFIELD_SEEDS, LILACFIELD_FIRST_SEED. */
+/* More or other seeds by LILACFIELD_SEEDS and LILACFIELD_FIRST_SEED. */
 const unsigned SEEDS = 10;
 const uint64_t PLAY_US = 12 * US_PER_S;
 
 /*
- * name; nodes, servers; deadly requests, how often each comes a second,
- * bunched; harmless ones a second and server; crashes a second without cause;
- * losses of power; all nodes killed; a region cut off; crashes and late runs at
- * most
+ * name; nodes, servers; deadly requests, times per second of each, at random
+ * times; harmless requests per second and server; crashes per second without a
+ * cause; power failures; all nodes killed; a region partitioned; most crashes,
+ * most late runs
  */
 const fleet_case cases[] = {
 	{ "Eight", 8, 12, 1, 5, false, 6, 0, false, false, false, 4, 0 },
@@ -64,7 +64,7 @@
 {
 };
 
-/* Guards against a request's crashes adding up node by node. */
+/* Guards against nodes that each allow a request its own crashes. */
 TEST_P(FleetTest, CrashesAreBoundedAndNobodyElsePays)
 {
 	const fleet_case &c = GetParam();
@@ -98,7 +98,7 @@
 INSTANTIATE_TEST_SUITE_P(Cases, FleetTest, ::testing::ValuesIn(cases),
 			 [](const auto &info) { return info.param.name; });
 
-/* Seeds that went past the bounds of their case. */
+/* Seeds that once exceeded the bounds of their case. */
 struct found_case {
 	const char *fleet;
 	unsigned seed;
--- a/tests/core/suspect_table_test.cc
+++ b/tests/core/suspect_table_test.cc
@@ -1,4 +1,6 @@
-/* What speaks against a request, what for it, and what nodes tell of it. */
+/*
+ * Evidence for and against suspects, claims, and updates between nodes.
+ */
 #include <string>
 #include <vector>
 
@@ -13,7 +15,7 @@
 const uint32_t SELF = 1;
 const uint32_t OTHER = 2;
 
-/* One node's table, and the backend servers that it knows. */
+/* One node's table, and the backend servers that the node knows. */
 class SuspectTest : public ::testing::Test
 {
       protected:
@@ -27,7 +29,9 @@
 		suspect_table_free(table);
 		backend_table_free(backends);
 	}
-	/* The server of this life ends; the request had been there for 100 ms.
+	/*
+	 * The server of this incarnation crashes, 100 ms after the request
+	 * came.
 	 */
 	bool crash(uint32_t life, uint64_t fingerprint = FINGERPRINT)
 	{
@@ -37,7 +41,7 @@
 		return suspect_add_own_crash(table, fingerprint, backends,
 					     &crash, "GET /r/x");
 	}
-	/* So many servers end, one after another. */
+	/* So many servers crash, one after another. */
 	void crash_times(int count, uint64_t fingerprint = FINGERPRINT)
 	{
 		for (int i = 0; i < count; i++) {
@@ -114,7 +118,7 @@
 			 ::testing::ValuesIn(count_cases),
 			 [](const auto &info) { return info.param.name; });
 
-/* Guards against a report that comes twice being counted twice. */
+/* Guards against counting a crash twice when it is reported twice. */
 TEST_F(SuspectTest, RepeatedCrashReportCountsOnce)
 {
 	for (int i = 0; i < 5; i++) {
@@ -124,7 +128,7 @@
 	EXPECT_EQ(SUSPECT_MAY_RUN, decide().verdict);
 }
 
-/* Guards against a domain's loss of power counting as a crash a server. */
+/* Guards against counting a domain's power failure as one crash per server. */
 TEST_F(SuspectTest, SimultaneousCrashesDontQuarantine)
 {
 	for (uint32_t life = 1; life <= 8; life++) {
@@ -136,11 +140,10 @@
 
 struct domain_case {
 	const char *name;
-	int servers; /* of the failure domain */
-	int ended; /* of these, at one moment, each under a request of its own
-		    */
-	bool has_culprit; /* one request was at all of them, too */
-	uint32_t counted; /* crashes of one that was at the last of them */
+	int servers; /* in the failure domain */
+	int ended; /* of these, at one moment, each with a request of its own */
+	bool has_culprit; /* one more request ran at all of them */
+	uint32_t counted; /* of the request at the last of them */
 };
 
 const domain_case domain_cases[] = {
@@ -166,7 +169,9 @@
 	}
 };
 
-/* Guards against a domain's loss of power that no node sees whole by itself. */
+/*
+ * Guards against counting a domain's power failure that no node sees in full.
+ */
 TEST_P(DomainTest, DomainOutageCountsAgainstNoRequest)
 {
 	const domain_case &c = GetParam();
@@ -198,7 +203,7 @@
 INSTANTIATE_TEST_SUITE_P(Cases, DomainTest, ::testing::ValuesIn(domain_cases),
 			 [](const auto &info) { return info.param.name; });
 
-/* Guards against such ends counting once the list forgets the servers. */
+/* Guards against counting an outage once the list has dropped its servers. */
 TEST_F(SuspectTest, DomainOutageIsKnownAfterServersLeftTheList)
 {
 	std::vector<std::string> ids = { "i-1", "i-2", "i-3" };
@@ -211,7 +216,7 @@
 	EXPECT_EQ(SUSPECT_NONE, decide((uint64_t)'1').verdict);
 }
 
-/* Guards against a request that crashes at once passing for one cause. */
+/* Guards against taking crashes by quick, successive runs for one cause. */
 TEST_F(SuspectTest, RunStartedAfterACrashCountsSeparately)
 {
 	for (uint32_t life = 1; life <= 3; life++) {
@@ -225,7 +230,7 @@
 	EXPECT_EQ(SUSPECT_QUARANTINED, decide().verdict);
 }
 
-/* Guards against a request that shared servers with one that crashes them. */
+/* Guards against suspecting a request for good that ran beside a deadly one. */
 TEST_F(SuspectTest, AnswerClearsEarlierCrashes)
 {
 	crash_times(2);
@@ -235,7 +240,7 @@
 	EXPECT_EQ(SUSPECT_MAY_RUN, decide().verdict);
 }
 
-/* Guards against a crash that is noticed late outliving the answer after it. */
+/* Guards against a crash that is reported after a later answer. */
 TEST_F(SuspectTest, CrashBeforeAnAnswerIsIgnored)
 {
 	crash_times(1);
@@ -248,7 +253,7 @@
 	EXPECT_EQ(0u, suspect_table_find(table, FINGERPRINT)->crash_count);
 }
 
-/* Guards against connections that were reset passing for servers that ended. */
+/* Guards against taking connection resets for crashes. */
 TEST_F(SuspectTest, ServerThatAnswersLaterDidNotCrash)
 {
 	for (const char *id : { "i-1", "i-2", "i-3" }) {
@@ -264,7 +269,7 @@
 	EXPECT_EQ(SUSPECT_MAY_RUN, decide().verdict);
 }
 
-/* Guards against a new start under an old id clearing what ended the old. */
+/* Guards against a restart under the old id that hides the crash before it. */
 TEST_F(SuspectTest, ServerThatRefusedConnectionsCrashed)
 {
 	struct backend *backend = add_backend("i-1");
@@ -293,7 +298,7 @@
 	EXPECT_EQ(SUSPECT_MAY_RUN, decide().verdict);
 }
 
-/* Guards against a node that dies while it runs a suspect blocking it. */
+/* Guards against a node that dies while it runs a suspect and so blocks it. */
 TEST_F(SuspectTest, RunExpires)
 {
 	crash_times(1);
@@ -329,7 +334,9 @@
 	EXPECT_EQ(SUSPECT_NONE, decide(FINGERPRINT, false).verdict);
 }
 
-/* Guards against memory and quarantines being taken by a flood of suspects. */
+/*
+ * Guards against a flood of suspects that fills memory or evicts quarantines.
+ */
 TEST_F(SuspectTest, FullTableEvictsNoQuarantinedRequest)
 {
 	crash_times(3);
@@ -363,7 +370,7 @@
 
 struct attribution_case {
 	const char *name;
-	/* Lives that ended under each, in order; 0: none. */
+	/* Servers that crashed with each request, in order; 0: none. */
 	uint32_t beside[5];
 	uint32_t deadly[5];
 	uint32_t other[5];
@@ -411,7 +418,7 @@
 	}
 };
 
-/* Guards against one that stood beside the culprit being taken for it. */
+/* Guards against quarantining a request that ran beside the deadly one. */
 TEST_P(AttributionTest, ExclusiveCrashesIdentifyTheCause)
 {
 	const attribution_case &c = GetParam();
@@ -436,7 +443,9 @@
 			 ::testing::ValuesIn(attribution_cases),
 			 [](const auto &info) { return info.param.name; });
 
-/* Guards against an innocent one that hides the culprit after its answer. */
+/*
+ * Guards against a harmless request that shields the deadly one it ran beside.
+ */
 TEST_F(SuspectTest, AnswerLeavesTheCrashesToTheOtherRequest)
 {
 	for (uint32_t life = 1; life <= 3; life++) {
@@ -453,19 +462,19 @@
 
 /* --- claims ------------------------------------------------------------- */
 
-/* A node that wants to run a request that two servers ended under. */
+/* A node that wants to run a request with two crashes. */
 struct ClaimingNode {
 	uint32_t node;
 	uint64_t fingerprint;
 	uint64_t comes_us;
 	struct suspect_table *table = nullptr;
 	bool has_claimed = false;
-	uint64_t next_us = 0; /* when it looks again */
-	uint64_t began_us = 0; /* its run; 0: none yet */
-	uint32_t life = 0; /* of the server that it chose */
+	uint64_t next_us = 0; /* time of the next attempt */
+	uint64_t began_us = 0; /* start of its run; 0: none yet */
+	uint32_t life = 0; /* chosen server */
 };
 
-/* Such nodes with words between them, and servers 1 to 9. */
+/* Such nodes, updates between them, and servers 1 to 9. */
 class ClaimSimulation
 {
       public:
@@ -496,7 +505,7 @@
 					step(claimer);
 		}
 	}
-	/* Runs that began while another node had one of the same request. */
+	/* Runs that began during another node's run of the same request. */
 	int overlaps() const
 	{
 		int count = 0;
@@ -560,7 +569,9 @@
 		claimer.has_claimed = true;
 		claimer.next_us = now_us_ + SUSPECT_CLAIM_WAIT_US;
 	}
-	/* At the first server at which it knows of no suspect. */
+	/*
+	 * Runs at the first server without a suspect, as far as the node knows.
+	 */
 	void run(ClaimingNode &claimer)
 	{
 		claimer.began_us = now_us_;
@@ -603,7 +614,7 @@
 
 struct claim_case {
 	const char *name;
-	uint64_t second_node_ms; /* later than the first */
+	uint64_t second_node_ms; /* after the first */
 	uint64_t update_ms;
 };
 
@@ -618,7 +629,9 @@
 {
 };
 
-/* Guards against nodes that each send a suspect before they hear of another. */
+/*
+ * Guards against two nodes that each run a suspect before the other's update.
+ */
 TEST_P(ClaimTest, NodesRunARequestOneAfterAnother)
 {
 	const claim_case &c = GetParam();
@@ -636,7 +649,7 @@
 	}
 }
 
-/* Guards against two suspects that meet at a server again and again. */
+/* Guards against two suspects that run at the same server. */
 TEST_P(ClaimTest, SuspectsChooseDifferentServers)
 {
 	const claim_case &c = GetParam();
@@ -658,7 +671,7 @@
 INSTANTIATE_TEST_SUITE_P(Cases, ClaimTest, ::testing::ValuesIn(claim_cases),
 			 [](const auto &info) { return info.param.name; });
 
-/* Guards against a node that dies after its claim blocking the request. */
+/* Guards against a node that dies after its claim and so blocks the request. */
 TEST_F(SuspectTest, ClaimExpires)
 {
 	crash_times(2);
@@ -668,7 +681,7 @@
 	EXPECT_EQ(SUSPECT_MAY_RUN, decide().verdict);
 }
 
-/* Guards against a node that was suspended running on a claim that is over. */
+/* Guards against a node that was suspended and runs on an expired claim. */
 TEST_F(SuspectTest, ExpiredClaimMustBeRepeated)
 {
 	crash_times(2);
@@ -680,7 +693,7 @@
 	EXPECT_TRUE(decide(FINGERPRINT, false, true).claims);
 }
 
-/* --- words between nodes ------------------------------------------------ */
+/* --- updates between nodes ---------------------------------------------- */
 
 class SuspectUpdateTest : public SuspectTest
 {
@@ -717,7 +730,7 @@
 	struct suspect_table *peer_table;
 };
 
-/* Guards against nodes that each count a part of the crashes. */
+/* Guards against nodes that each count only the crashes they saw. */
 TEST_F(SuspectUpdateTest, CrashesOfTwoNodesAddUp)
 {
 	crash_times(2);
@@ -742,7 +755,7 @@
 	EXPECT_EQ(2u, suspect_table_find(peer_table, FINGERPRINT)->rounds);
 }
 
-/* Guards against an old word undoing what an answer has cleared. */
+/* Guards against an old update that reverts an answer. */
 TEST_F(SuspectUpdateTest, AnswerOverridesOlderUpdates)
 {
 	crash_times(2);
@@ -759,7 +772,9 @@
 	EXPECT_EQ(SUSPECT_NONE, peer_verdict());
 }
 
-/* Guards against a late word on an older answer undoing a newer one. */
+/*
+ * Guards against a late update with an older answer that replaces a newer one.
+ */
 TEST_F(SuspectUpdateTest, AnOlderAnswerAfterANewerOneChangesNothing)
 {
 	crash_times(2);
@@ -797,7 +812,7 @@
 	EXPECT_EQ(SUSPECT_MAY_RUN, peer_verdict());
 }
 
-/* Guards against callers of other nodes waiting for a run that has ended. */
+/* Guards against requests at other nodes that wait for a run that has ended. */
 TEST_F(SuspectUpdateTest, EndOfARunIsBroadcast)
 {
 	struct suspect_update update;
@@ -818,7 +833,7 @@
 	EXPECT_EQ(SUSPECT_MAY_RUN, peer_verdict());
 }
 
-/* Guards against a confused node taking a request's service away by itself. */
+/* Guards against one faulty node that quarantines a harmless request. */
 TEST_F(SuspectUpdateTest, CrashesOfServersThatAnswerDontCount)
 {
 	struct suspect_update update = {};
@@ -881,7 +896,7 @@
 			 ::testing::ValuesIn(invalid_update_cases),
 			 [](const auto &info) { return info.param.name; });
 
-/* Guards against lost datagrams, and against telling for ever. */
+/* Guards against lost datagrams, and against sending a change for ever. */
 TEST_F(SuspectUpdateTest, ChangesAreSentAFewTimesQuarantinesRepeatedly)
 {
 	struct suspect_update update;
