--- a/packages/core/extra_budget.c
+++ b/packages/core/extra_budget.c
@@ -24,13 +24,13 @@
 	}
 }
 
-static uint32_t sum(const uint32_t *slots)
+static uint32_t sum(const uint32_t *slices)
 {
 	uint32_t total = 0;
 	uint32_t i;
 
 	for (i = 0; i < STORED_SLICES; i++)
-		total += slots[i];
+		total += slices[i];
 	return total;
 }
 
--- a/packages/core/suspect_evidence.c
+++ b/packages/core/suspect_evidence.c
@@ -212,7 +212,7 @@
 }
 
 enum attribution {
-	ATTRIBUTION_OTHER,
+	ATTRIBUTION_OTHER, /* too few crashes, or explained by others */
 	ATTRIBUTION_UNDECIDED, /* another request has as much evidence */
 	ATTRIBUTION_CAUSE,
 };
--- a/packages/core/suspect_table.c
+++ b/packages/core/suspect_table.c
@@ -395,7 +395,7 @@
 	return true;
 }
 
-static uint64_t before(uint64_t now_us, uint64_t age_us)
+static uint64_t time_before(uint64_t now_us, uint64_t age_us)
 {
 	return now_us > age_us ? now_us - age_us : 0;
 }
@@ -410,7 +410,7 @@
 	for (i = 0; i < update->crash_count; i++) {
 		const struct suspect_crash crash = {
 			.life = update->crashes[i].life,
-			.at_us = before(now_us, update->crashes[i].age_us),
+			.at_us = time_before(now_us, update->crashes[i].age_us),
 			.ran_us = update->crashes[i].ran_us,
 		};
 
@@ -470,8 +470,9 @@
 	if (!entry)
 		return true;
 	previous = *entry;
-	changed = update->cleared &&
-		  clear_entry(entry, before(now_us, update->cleared_age_us));
+	changed =
+		update->cleared &&
+		clear_entry(entry, time_before(now_us, update->cleared_age_us));
 	if (changed)
 		suspect_reevaluate_related(table, &previous);
 	changed |= apply_crashes(table, entry, update, backends, now_us);
--- a/tests/core/rate_limit_test.cc
+++ b/tests/core/rate_limit_test.cc
@@ -82,7 +82,7 @@
 	{ "NeverNamed", { { 'a', 0, 10, 11, 0 } } },
 	{ "Lowered", { { 'a', 9, 10, 12, 9 }, { 'a', 2, 11, 13, 2 } } },
 	{ "Raised", { { 'a', 2, 10, 12, 2 }, { 'a', 9, 13, 14, 9 } } },
-	{ "Gone", { { 'a', 2, 10, 12, 2 }, { 'a', 0, 13, 14, 0 } } },
+	{ "Lifted", { { 'a', 2, 10, 12, 2 }, { 'a', 0, 13, 14, 0 } } },
 	{ "NamedAgain",
 	  { { 'a', 2, 10, 12, 2 },
 	    { 'a', 0, 13, 14, 0 },
@@ -91,14 +91,14 @@
 	  { { 'a', 2, 10, 12, 2 }, { 'a', 0, 11, 13, 2 } } },
 	{ "AnOlderAnswerWithMore",
 	  { { 'a', 2, 10, 12, 2 }, { 'a', 9, 11, 13, 2 } } },
-	{ "Told", { { 'w', 2, 10, 11, 2 } } },
-	{ "TheSameToldLater",
+	{ "PeerUpdate", { { 'w', 2, 10, 11, 2 } } },
+	{ "SameRateInALaterPeerUpdate",
 	  { { 'a', 2, 10, 11, 2 }, { 'w', 2, 10, 30, 2 } } },
-	{ "AnOlderWord", { { 'a', 2, 10, 12, 2 }, { 'w', 9, 11, 13, 2 } } },
-	{ "AnOlderWordThatItIsGone",
+	{ "OlderPeerUpdate", { { 'a', 2, 10, 12, 2 }, { 'w', 9, 11, 13, 2 } } },
+	{ "OlderPeerUpdateWithoutRate",
 	  { { 'a', 2, 10, 12, 2 }, { 'w', 0, 11, 13, 2 } } },
-	{ "ANewerWord", { { 'a', 2, 10, 12, 2 }, { 'w', 9, 13, 14, 9 } } },
-	{ "AnAnswerFromBeforeTheWord",
+	{ "NewerPeerUpdate", { { 'a', 2, 10, 12, 2 }, { 'w', 9, 13, 14, 9 } } },
+	{ "AnswerOlderThanPeerUpdate",
 	  { { 'w', 2, 12, 13, 2 }, { 'a', 0, 11, 14, 2 } } },
 };
 
@@ -371,13 +371,13 @@
 	 */
 	void post(const Message &message)
 	{
-		uint64_t round_trip_us = 1000 + random() % 3000;
+		uint64_t delay_us = 1000 + random() % 3000;
 
 		if (is_cut && message.from % 2 != message.to % 2)
 			return;
 		if (message.from % 3 != message.to % 3)
-			round_trip_us += LINK_US / 2;
-		messages.emplace(now_us + round_trip_us, message);
+			delay_us += LINK_US / 2;
+		messages.emplace(now_us + delay_us, message);
 	}
 	void deliver_until(uint64_t until_us)
 	{
--- a/tests/core/suspect_fleet.h
+++ b/tests/core/suspect_fleet.h
@@ -43,7 +43,7 @@
 	bool bunched; /* at random times, not evenly */
 	double harmless_per_s; /* per server */
 	double crashes_per_s; /* of servers, without a request as cause */
-	bool power; /* a third of the servers crash at once, every 3 s */
+	bool power; /* a third of the servers crash at once, three times */
 	bool kill_all; /* all nodes die at 5 s; the stored quarantines remain */
 	bool partition; /* a region is partitioned from 1 to 6 s */
 	int max_crashes; /* by each deadly request */
@@ -172,7 +172,7 @@
 		{
 			std::string text =
 				std::to_string((at_us - START_US) / US_PER_MS) +
-				" ms, life " + std::to_string(life) +
+				" ms, incarnation " + std::to_string(life) +
 				", culprit " + std::to_string(culprit) + ":";
 
 			for (const Run &run : runs)
--- a/tests/core/suspect_table_test.cc
+++ b/tests/core/suspect_table_test.cc
@@ -619,10 +619,13 @@
 };
 
 const claim_case claim_cases[] = {
-	{ "Together", 0, 60 },	     { "WithinAWord", 30, 60 },
-	{ "AsItArrives", 60, 60 },   { "AsTheWaitEnds", 139, 60 },
-	{ "AfterTheWait", 141, 60 }, { "Near", 1, 2 },
-	{ "SlowWords", 69, 69 },
+	{ "Together", 0, 60 },
+	{ "BeforeTheUpdateArrives", 30, 60 },
+	{ "AsTheUpdateArrives", 60, 60 },
+	{ "AsTheWaitEnds", 139, 60 },
+	{ "AfterTheWait", 141, 60 },
+	{ "Near", 1, 2 },
+	{ "SlowUpdates", 69, 69 },
 };
 
 class ClaimTest : public ::testing::TestWithParam<claim_case>
