--- a/tests/core/rate_limit_test.cc
+++ b/tests/core/rate_limit_test.cc
@@ -272,7 +272,7 @@
 	 * Demand is five times the rate, spread evenly over the nodes of one
 	 * region. A node without a token asks a holder.
 	 */
-	void play_for(double seconds)
+	void run_for(double seconds)
 	{
 		uint64_t end_us = now_us + (uint64_t)(seconds * 1e6);
 		std::exponential_distribution<double> gap(demand_per_s);
@@ -300,7 +300,7 @@
 	{
 		all[i].frozen_until_us = now_us + (uint64_t)(seconds * 1e6);
 	}
-	void name(double rate)
+	void report_rate(double rate)
 	{
 		per_s = rate;
 		if (rate > 0)
@@ -322,18 +322,18 @@
 		restart(count);
 	}
 	/* Largest number of requests in any 4 s after from_us. */
-	size_t most(uint64_t from_us) const
+	size_t max_in_window(uint64_t from_us) const
 	{
-		size_t most = 0;
+		size_t max = 0;
 		size_t first = 0;
 
 		for (size_t i = 0; i < sends.size(); i++) {
 			while (sends[i] - sends[first] >= 4 * US_PER_S)
 				first++;
 			if (sends[first] >= from_us)
-				most = std::max(most, i - first + 1);
+				max = std::max(max, i - first + 1);
 		}
-		return most;
+		return max;
 	}
 	size_t since(uint64_t from_us) const
 	{
@@ -343,7 +343,8 @@
 	double per_s;
 	double demand_per_s;
 	int region_at = 0; /* region of the demand; the server is in 0 */
-	bool is_cut = false; /* even nodes are partitioned from odd ones */
+	bool is_partitioned = false; /* even nodes are partitioned from odd ones
+				      */
 	uint64_t now_us = 100 * US_PER_S;
 	std::mt19937 random;
 
@@ -373,7 +374,7 @@
 	{
 		uint64_t delay_us = 1000 + random() % 3000;
 
-		if (is_cut && message.from % 2 != message.to % 2)
+		if (is_partitioned && message.from % 2 != message.to % 2)
 			return;
 		if (message.from % 3 != message.to % 3)
 			delay_us += LINK_US / 2;
@@ -513,10 +514,10 @@
 		while (g_hash_table_iter_next(&iter, NULL, &value)) {
 			struct member *member = (struct member *)value;
 
-			if (!is_cut || (atoi(member->name + 1) -
-					atoi(node.members->self->name + 1)) %
-						       2 ==
-					       0)
+			if (!is_partitioned || (atoi(member->name + 1) -
+						atoi(node.members->self->name +
+						     1)) % 2 ==
+						       0)
 				member->heard_us = now_us;
 		}
 	}
@@ -571,7 +572,7 @@
 		for (int seed = 1; seed <= seeds(); seed++) {
 			SCOPED_TRACE(seed);
 			RateFleet fleet(c.nodes, c.per_s, seed);
-			fleet.name(c.per_s);
+			fleet.report_rate(c.per_s);
 			play(fleet);
 		}
 	}
@@ -581,8 +582,8 @@
 TEST_P(RateFleetTest, TheSumStaysWithinTheRate)
 {
 	for_each_seed([](RateFleet &fleet) {
-		fleet.play_for(10);
-		EXPECT_LE(fleet.most(0), bound(fleet.per_s));
+		fleet.run_for(10);
+		EXPECT_LE(fleet.max_in_window(0), bound(fleet.per_s));
 	});
 }
 
@@ -592,9 +593,9 @@
 	if (GetParam().per_s < 2)
 		GTEST_SKIP() << "a burst is as much as the rate";
 	for_each_seed([](RateFleet &fleet) {
-		fleet.play_for(2);
+		fleet.run_for(2);
 		uint64_t from_us = fleet.now_us;
-		fleet.play_for(10);
+		fleet.run_for(10);
 		EXPECT_GE(fleet.since(from_us), 0.85 * 10 * fleet.per_s);
 	});
 }
@@ -605,19 +606,19 @@
 	const int nodes = GetParam().nodes;
 
 	for_each_seed([nodes](RateFleet &fleet) {
-		fleet.play_for(3);
+		fleet.run_for(3);
 		fleet.restart(0);
 		fleet.add_node();
 		for (int i = 1; i < nodes; i += 4)
 			fleet.freeze(i, 2.5);
-		fleet.play_for(4);
+		fleet.run_for(4);
 		for (int i = 0; i < nodes; i += 3)
 			fleet.restart(i);
-		fleet.play_for(6);
+		fleet.run_for(6);
 		for (int i = 0; i < nodes; i++)
 			fleet.restart(i);
-		fleet.play_for(7);
-		EXPECT_LE(fleet.most(0), bound(fleet.per_s));
+		fleet.run_for(7);
+		EXPECT_LE(fleet.max_in_window(0), bound(fleet.per_s));
 	});
 }
 
@@ -625,11 +626,11 @@
 TEST_P(RateFleetTest, LowerRateHoldsAfterOneSecond)
 {
 	for_each_seed([](RateFleet &fleet) {
-		fleet.play_for(6);
-		fleet.name(fleet.per_s / 2);
+		fleet.run_for(6);
+		fleet.report_rate(fleet.per_s / 2);
 		uint64_t from_us = fleet.now_us + US_PER_S;
-		fleet.play_for(8);
-		EXPECT_LE(fleet.most(from_us), bound(fleet.per_s));
+		fleet.run_for(8);
+		EXPECT_LE(fleet.max_in_window(from_us), bound(fleet.per_s));
 	});
 }
 
@@ -637,12 +638,12 @@
 TEST_P(RateFleetTest, TheRateFollowsDemandToAnotherRegion)
 {
 	for_each_seed([](RateFleet &fleet) {
-		fleet.play_for(6);
+		fleet.run_for(6);
 		fleet.region_at = 1;
-		fleet.play_for(3);
+		fleet.run_for(3);
 		uint64_t from_us = fleet.now_us;
-		fleet.play_for(10);
-		EXPECT_LE(fleet.most(0), bound(fleet.per_s));
+		fleet.run_for(10);
+		EXPECT_LE(fleet.max_in_window(0), bound(fleet.per_s));
 		if (fleet.per_s < 2)
 			return;
 		EXPECT_GE(fleet.since(from_us), 0.85 * 10 * fleet.per_s);
@@ -653,12 +654,12 @@
 TEST_P(RateFleetTest, TheSumHoldsDuringAPartition)
 {
 	for_each_seed([](RateFleet &fleet) {
-		fleet.play_for(5);
-		fleet.is_cut = true;
-		fleet.play_for(8);
-		fleet.is_cut = false;
-		fleet.play_for(5);
-		EXPECT_LE(fleet.most(0), bound(fleet.per_s));
+		fleet.run_for(5);
+		fleet.is_partitioned = true;
+		fleet.run_for(8);
+		fleet.is_partitioned = false;
+		fleet.run_for(5);
+		EXPECT_LE(fleet.max_in_window(0), bound(fleet.per_s));
 	});
 }
 
@@ -666,15 +667,15 @@
 TEST_P(RateFleetTest, TrafficRampsUpAfterTheRateIsLifted)
 {
 	for_each_seed([](RateFleet &fleet) {
-		fleet.play_for(6);
+		fleet.run_for(6);
 		double rate = fleet.per_s;
-		fleet.name(0);
+		fleet.report_rate(0);
 		uint64_t gone_us = fleet.now_us;
-		fleet.play_for(0.5);
+		fleet.run_for(0.5);
 		EXPECT_LE(fleet.since(gone_us), 2 * rate + 5);
-		fleet.play_for(2.5);
+		fleet.run_for(2.5);
 		uint64_t from_us = fleet.now_us;
-		fleet.play_for(4);
+		fleet.run_for(4);
 		EXPECT_GE(fleet.since(from_us),
 			  0.85 * 4 * fleet.demand_per_s -
 				  3 * std::sqrt(4 * fleet.demand_per_s));
