--- a/packages/core/choose.c
+++ b/packages/core/choose.c
@@ -185,7 +185,7 @@
 		.has_object = query->has_object &&
 			      !(chooser->off & CHOOSE_LEAVE_BY_OBJECT),
 		.object = query->object,
-		.free = region_is_disturbed(chooser, now_us),
+		.skip_limits = region_is_disturbed(chooser, now_us),
 	};
 }
 
--- a/packages/core/rate_limit.c
+++ b/packages/core/rate_limit.c
@@ -113,7 +113,7 @@
 {
 	/* The bucket starts empty: a flapping rate would fill it each time. */
 	if (!limit->per_s) {
-		limit->part_per_s = 0;
+		limit->quota_per_s = 0;
 		limit->tokens = 0;
 		limit->filled_us = now_us;
 	}
@@ -190,10 +190,10 @@
 static double burst(const struct rate_limit *limit, uint64_t now_us)
 {
 	double per_s = rate_limit_effective(limit, now_us);
-	double share = per_s > 0 ? limit->part_per_s / per_s : 0;
+	double share = per_s > 0 ? limit->quota_per_s / per_s : 0;
 	double burst_s = (double)BURST_US / (double)US_PER_S;
 
-	return 1.0 + fmax(TOTAL_BURST * share, limit->part_per_s * burst_s);
+	return 1.0 + fmax(TOTAL_BURST * share, limit->quota_per_s * burst_s);
 }
 
 double rate_limit_tokens(const struct rate_limit *limit, uint64_t now_us)
@@ -201,7 +201,7 @@
 	double since_s = (double)(now_us - limit->filled_us) / (double)US_PER_S;
 
 	return fmin(burst(limit, now_us),
-		    limit->tokens + since_s * limit->part_per_s);
+		    limit->tokens + since_s * limit->quota_per_s);
 }
 
 static void refill(struct rate_limit *limit, uint64_t now_us)
@@ -210,11 +210,11 @@
 	limit->filled_us = now_us;
 }
 
-void rate_limit_set_quota(struct rate_limit *limit, double part_per_s,
+void rate_limit_set_quota(struct rate_limit *limit, double quota_per_s,
 			  uint64_t now_us)
 {
 	refill(limit, now_us);
-	limit->part_per_s = part_per_s;
+	limit->quota_per_s = quota_per_s;
 }
 
 static bool has_loan(const struct rate_limit *limit, uint64_t now_us)
@@ -225,14 +225,14 @@
 bool rate_limit_may_borrow(const struct rate_limit *limit, uint64_t now_us)
 {
 	if (limit->asked_count &&
-	    now_us - limit->asked_us < ANSWER_TIMEOUT_US + limit->way_us)
+	    now_us - limit->asked_us < ANSWER_TIMEOUT_US + limit->round_trip_us)
 		return false;
 	return rate_limit_is_limited(limit, now_us) &&
 	       now_us >= limit->ask_again_us;
 }
 
-uint32_t rate_limit_begin_borrowing(struct rate_limit *limit, uint64_t way_us,
-				    uint64_t now_us)
+uint32_t rate_limit_begin_borrowing(struct rate_limit *limit,
+				    uint64_t round_trip_us, uint64_t now_us)
 {
 	uint32_t tokens = MIN(limit->missed + 1, MAX_LOAN);
 
@@ -240,7 +240,7 @@
 		limit->borrowed = 0;
 	limit->asked_count = 0;
 	limit->asked_us = now_us;
-	limit->way_us = way_us;
+	limit->round_trip_us = round_trip_us;
 	limit->missed = 0;
 	return tokens;
 }
@@ -276,9 +276,9 @@
 		return lent;
 	}
 	*wait_us = MAX_RETRY_DELAY_US;
-	if (limit->part_per_s > 0)
+	if (limit->quota_per_s > 0)
 		*wait_us = (uint64_t)fmin((1 - limit->tokens) /
-						  limit->part_per_s * US_PER_S,
+						  limit->quota_per_s * US_PER_S,
 					  MAX_RETRY_DELAY_US);
 	return 0;
 }
@@ -306,7 +306,7 @@
 		limit->refused_by = 0;
 		limit->borrowed += MIN(lent, MAX_LOAN);
 		limit->borrowed_until_us =
-			limit->asked_us + limit->way_us + LOAN_TTL_US;
+			limit->asked_us + limit->round_trip_us + LOAN_TTL_US;
 	} else if (!limit->refused_by) {
 		limit->refused_by = holder;
 	} else if (!limit->asked_count && !limit->borrowed) {
@@ -338,7 +338,7 @@
 void rate_limit_give_back(struct rate_limit *limit, uint64_t now_us)
 {
 	limit->sent--;
-	if (limit->part_per_s > 0) {
+	if (limit->quota_per_s > 0) {
 		refill(limit, now_us);
 		limit->tokens += 1;
 	} else if (now_us < limit->borrowed_until_us) {
--- a/packages/core/rate_limit.h
+++ b/packages/core/rate_limit.h
@@ -33,7 +33,7 @@
 	double per_s; /* of all nodes together; 0: unlimited */
 	double previous_per_s; /* rate before the limit was lifted; 0: none */
 	uint64_t learned_us; /* when the rate was last reported; 0: never */
-	double part_per_s; /* this node's; 0: not a holder */
+	double quota_per_s; /* this node's; 0: not a holder */
 	double tokens;
 	uint64_t filled_us;
 	uint32_t borrowed; /* tokens */
@@ -42,11 +42,11 @@
 	uint32_t asked[RATE_LIMIT_MAX_ASKED];
 	uint32_t asked_count;
 	uint64_t asked_us;
-	uint64_t way_us; /* to the holders asked */
+	uint64_t round_trip_us; /* to the holders asked */
 	uint32_t missed; /* requests without a token since the last borrowing */
 	uint32_t refused_by; /* holder that had no tokens, by hash; 0: none */
 	uint64_t ask_again_us; /* no borrowing before that time */
-	uint32_t urgent; /* broadcasts to all nodes that are due */
+	uint32_t broadcasts_left; /* broadcasts to all nodes that are due */
 	uint64_t broadcast_us; /* time of the last broadcast */
 	uint32_t rejected; /* answers with an invalid rate */
 	uint64_t sent; /* requests sent while limited */
@@ -54,7 +54,7 @@
 
 /* What one node sends another about a server's rate. Times are ages. */
 struct rate_update {
-	uint32_t life; /* of the backend server */
+	uint32_t incarnation; /* of the backend server */
 	double per_s; /* 0: unlimited */
 	uint64_t age_us; /* since the server reported it */
 };
@@ -114,8 +114,8 @@
  * link with this round trip. rate_limit_mark_asked() notes that a holder is
  * asked; false if it already is, or if too many are.
  */
-uint32_t rate_limit_begin_borrowing(struct rate_limit *limit, uint64_t way_us,
-				    uint64_t now_us);
+uint32_t rate_limit_begin_borrowing(struct rate_limit *limit,
+				    uint64_t round_trip_us, uint64_t now_us);
 bool rate_limit_mark_asked(struct rate_limit *limit, uint32_t holder);
 
 /*
@@ -136,7 +136,7 @@
 			   uint32_t lent, uint64_t wait_us, uint64_t now_us);
 
 /* Sets the quota at which the bucket fills. */
-void rate_limit_set_quota(struct rate_limit *limit, double part_per_s,
+void rate_limit_set_quota(struct rate_limit *limit, double quota_per_s,
 			  uint64_t now_us);
 
 /* Tokens in the bucket. */
--- a/packages/core/region_flow.c
+++ b/packages/core/region_flow.c
@@ -97,7 +97,7 @@
 	bool leave;
 
 	flow->wanted += WANTED_WEIGHT * (leave_wanted - flow->wanted);
-	if (request->free) {
+	if (request->skip_limits) {
 		flow->share = flow->wanted;
 		flow->granted = flow->wanted;
 		flow->moved_us = now_us;
--- a/packages/core/region_flow.h
+++ b/packages/core/region_flow.h
@@ -39,7 +39,7 @@
 	/*
 	 * Something failed in this region: its requests leave without limits.
 	 */
-	bool free;
+	bool skip_limits;
 };
 
 /*
--- a/packages/core/suspect_evidence.c
+++ b/packages/core/suspect_evidence.c
@@ -21,7 +21,7 @@
 		     const struct suspect_crash *crash)
 {
 	const struct backend *backend =
-		backend_table_find_life(backends, crash->life);
+		backend_table_find_life(backends, crash->incarnation);
 
 	return backend && backend->alive_us > crash->at_us &&
 	       backend->unreachable_us <= crash->at_us;
@@ -34,7 +34,7 @@
 		       struct suspect_crash *crash)
 {
 	const struct backend *backend =
-		backend_table_find_life(backends, crash->life);
+		backend_table_find_life(backends, crash->incarnation);
 
 	if (backend)
 		crash->domain = hash_text(backend->domain);
@@ -67,7 +67,7 @@
 		if (entry->crashes[i].at_us > before_us)
 			entry->crashes[kept++] = entry->crashes[i];
 	entry->crash_count = kept;
-	entry->counted = MIN(entry->counted, kept);
+	entry->counted_crashes = MIN(entry->counted_crashes, kept);
 }
 
 static void drop_crashes_of_live_servers(struct suspect *entry,
@@ -92,7 +92,7 @@
 	uint32_t i;
 
 	for (i = 0; i < entry->crash_count; i++)
-		if (entry->crashes[i].life != crash->life &&
+		if (entry->crashes[i].incarnation != crash->incarnation &&
 		    difference(entry->crashes[i].at_us, crash->at_us) <
 			    2 * SIMULTANEOUS_US)
 			return true;
@@ -114,16 +114,17 @@
 bool suspect_recount_crashes(struct suspect_table *table, struct suspect *entry,
 			     const struct backend_table *backends)
 {
-	uint32_t before = entry->counted;
+	uint32_t before = entry->counted_crashes;
 	uint32_t i;
 
 	drop_crashes_of_live_servers(entry, backends);
-	entry->counted = 0;
+	entry->counted_crashes = 0;
 	for (i = 0; i < entry->crash_count; i++) {
 		set_domain(backends, &entry->crashes[i]);
-		entry->counted += is_evidence(table, entry, &entry->crashes[i]);
+		entry->counted_crashes +=
+			is_evidence(table, entry, &entry->crashes[i]);
 	}
-	return entry->counted != before;
+	return entry->counted_crashes != before;
 }
 
 /* --- attribution --------------------------------------------------------- */
@@ -141,15 +142,15 @@
 
 static bool has_quarantine_crashes(const struct suspect *entry)
 {
-	return entry->counted >= SUSPECT_QUARANTINE_CRASHES;
+	return entry->counted_crashes >= SUSPECT_QUARANTINE_CRASHES;
 }
 
-static bool has_crash_of(const struct suspect *entry, uint32_t life)
+static bool has_crash_of(const struct suspect *entry, uint32_t incarnation)
 {
 	uint32_t i;
 
 	for (i = 0; i < entry->crash_count; i++)
-		if (entry->crashes[i].life == life)
+		if (entry->crashes[i].incarnation == incarnation)
 			return true;
 	return false;
 }
@@ -159,7 +160,7 @@
 	uint32_t i;
 
 	for (i = 0; i < a->crash_count; i++)
-		if (has_crash_of(b, a->crashes[i].life))
+		if (has_crash_of(b, a->crashes[i].incarnation))
 			return true;
 	return false;
 }
@@ -178,7 +179,8 @@
 	uint32_t i;
 
 	for (i = 0; i < entry->crash_count; i++)
-		is_shared[i] |= has_crash_of(other, entry->crashes[i].life);
+		is_shared[i] |=
+			has_crash_of(other, entry->crashes[i].incarnation);
 }
 
 /* Crashes that no other request can have caused. */
@@ -194,7 +196,7 @@
 			mark_shared(entry, &table->entries[i], is_shared);
 	for (i = 0; i < entry->crash_count; i++)
 		exclusive += !is_shared[i];
-	return MIN(exclusive, entry->counted);
+	return MIN(exclusive, entry->counted_crashes);
 }
 
 /* Largest number of exclusive crashes of a request that may explain these. */
@@ -233,7 +235,8 @@
 	exclusive = count_exclusive(table, entry);
 	if (!exclusive)
 		return ATTRIBUTION_OTHER;
-	if (exclusive > 1 || entry->counted > SUSPECT_QUARANTINE_CRASHES)
+	if (exclusive > 1 ||
+	    entry->counted_crashes > SUSPECT_QUARANTINE_CRASHES)
 		return ATTRIBUTION_CAUSE;
 	others_exclusive = max_others_exclusive(table, entry);
 	if (others_exclusive == 1)
@@ -296,20 +299,20 @@
 }
 
 /* Servers that crashed at one moment are few, so an array serves as a set. */
-static bool has_incarnation(const GArray *incarnations, uint32_t life)
+static bool has_incarnation(const GArray *incarnations, uint32_t incarnation)
 {
 	guint i;
 
 	for (i = 0; i < incarnations->len; i++)
-		if (g_array_index(incarnations, uint32_t, i) == life)
+		if (g_array_index(incarnations, uint32_t, i) == incarnation)
 			return true;
 	return false;
 }
 
-static void add_incarnation(GArray *incarnations, uint32_t life)
+static void add_incarnation(GArray *incarnations, uint32_t incarnation)
 {
-	if (!has_incarnation(incarnations, life))
-		g_array_append_val(incarnations, life);
+	if (!has_incarnation(incarnations, incarnation))
+		g_array_append_val(incarnations, incarnation);
 }
 
 /*
@@ -333,9 +336,9 @@
 				    SIMULTANEOUS_US ||
 			    other->domain != crash->domain)
 				continue;
-			add_incarnation(incarnations, other->life);
+			add_incarnation(incarnations, other->incarnation);
 			if (has_simultaneous_crash(entry, other))
-				add_incarnation(shared, other->life);
+				add_incarnation(shared, other->incarnation);
 		}
 	}
 }
@@ -419,7 +422,7 @@
 	if (crash->at_us <= entry->cleared_us)
 		return false;
 	for (i = 0; i < entry->crash_count; i++) {
-		if (entry->crashes[i].life == crash->life)
+		if (entry->crashes[i].incarnation == crash->incarnation)
 			return false;
 		together += may_share_cause(&entry->crashes[i], crash);
 	}
--- a/packages/core/suspect_table.c
+++ b/packages/core/suspect_table.c
@@ -55,8 +55,8 @@
 /* Whether a is evicted first: it has less evidence against it, or is older. */
 static bool is_evicted_before(const struct suspect *a, const struct suspect *b)
 {
-	if (a->counted != b->counted)
-		return a->counted < b->counted;
+	if (a->counted_crashes != b->counted_crashes)
+		return a->counted_crashes < b->counted_crashes;
 	return a->updated_us < b->updated_us;
 }
 
@@ -109,19 +109,19 @@
  */
 static bool is_strong_suspect(const struct suspect *entry)
 {
-	return entry->rounds || entry->counted > 1;
+	return entry->rounds || entry->counted_crashes > 1;
 }
 
 static void mark_changed(struct suspect *entry, uint8_t times, uint64_t now_us)
 {
 	entry->updated_us = now_us;
-	entry->tells = times;
+	entry->heartbeats_left = times;
 }
 
 /* Sent twice where the loss of one datagram may allow another crash. */
 static void schedule_broadcast(struct suspect *entry)
 {
-	entry->urgent = is_strong_suspect(entry) ? 2 : 1;
+	entry->broadcasts_left = is_strong_suspect(entry) ? 2 : 1;
 }
 
 /* --- crashes ------------------------------------------------------------ */
@@ -207,7 +207,7 @@
 
 static bool is_claim(const struct suspect_run *run)
 {
-	return !run->life;
+	return !run->incarnation;
 }
 
 /* Order of claims, the same at all nodes. */
@@ -280,14 +280,14 @@
 		schedule_broadcast(entry);
 }
 
-bool suspect_runs_on(const struct suspect_table *table, uint32_t life,
+bool suspect_runs_on(const struct suspect_table *table, uint32_t incarnation,
 		     bool isolated_only, uint64_t now_us)
 {
 	uint32_t i;
 
 	for (i = 0; i < table->run_count; i++)
-		if (table->runs[i].life == life &&
-		    (table->runs[i].apart || !isolated_only) &&
+		if (table->runs[i].incarnation == incarnation &&
+		    (table->runs[i].isolated || !isolated_only) &&
 		    table->runs[i].until_us > now_us)
 			return true;
 	return false;
@@ -324,13 +324,13 @@
 			entry->until_us > now_us ? entry->until_us - now_us : 0;
 		return;
 	}
-	if (!entry->rounds && !entry->counted)
+	if (!entry->rounds && !entry->counted_crashes)
 		return;
-	decision->apart = is_strong_suspect(entry);
-	decision->claims = decision->apart && !has_claimed;
+	decision->isolated = is_strong_suspect(entry);
+	decision->needs_claim = decision->isolated && !has_claimed;
 	decision->verdict = SUSPECT_MAY_RUN;
 	if (is_blocked(table, query, has_claimed, now_us) ||
-	    (decision->claims && table->run_count == SUSPECT_MAX_RUNS))
+	    (decision->needs_claim && table->run_count == SUSPECT_MAX_RUNS))
 		decision->verdict = SUSPECT_RUNNING;
 }
 
@@ -341,7 +341,7 @@
 		.fingerprint = fingerprint,
 		.node = node,
 		.until_us = now_us + SUSPECT_CLAIM_WAIT_US + CLAIM_MARGIN_US,
-		.apart = true,
+		.isolated = true,
 	};
 
 	suspect_begin_run(table, &claim);
@@ -409,7 +409,7 @@
 
 	for (i = 0; i < update->crash_count; i++) {
 		const struct suspect_crash crash = {
-			.life = update->crashes[i].life,
+			.incarnation = update->crashes[i].life,
 			.at_us = time_before(now_us, update->crashes[i].age_us),
 			.ran_us = update->crashes[i].ran_us,
 		};
@@ -441,9 +441,9 @@
 	const struct suspect_run run = {
 		.fingerprint = update->fingerprint,
 		.node = sender,
-		.life = update->run_incarnation,
+		.incarnation = update->run_incarnation,
 		.until_us = now_us + update->run_left_us,
-		.apart = update->rounds || update->crash_count > 1,
+		.isolated = update->rounds || update->crash_count > 1,
 	};
 
 	if (update->run_left_us)
@@ -498,7 +498,7 @@
 		if (run->fingerprint != entry->fingerprint ||
 		    run->node != node || run->until_us <= now_us)
 			continue;
-		update->run_incarnation = run->life;
+		update->run_incarnation = run->incarnation;
 		update->run_left_us =
 			MIN(run->until_us - now_us, SUSPECT_MAX_RUN_US);
 	}
@@ -514,7 +514,7 @@
 	update->fingerprint = entry->fingerprint;
 	update->crash_count = entry->crash_count;
 	for (i = 0; i < entry->crash_count; i++) {
-		update->crashes[i].life = entry->crashes[i].life;
+		update->crashes[i].life = entry->crashes[i].incarnation;
 		update->crashes[i].age_us =
 			MIN(now_us - entry->crashes[i].at_us, SUSPECT_TTL_US);
 		update->crashes[i].ran_us = entry->crashes[i].ran_us;
@@ -542,9 +542,9 @@
 	     i++) {
 		struct suspect *entry = &table->entries[i];
 
-		if (!table->keys[i] || !entry->urgent)
+		if (!table->keys[i] || !entry->broadcasts_left)
 			continue;
-		entry->urgent--;
+		entry->broadcasts_left--;
 		fill_update(table, entry, node, now_us, &updates[count++]);
 	}
 	return count;
@@ -555,7 +555,7 @@
 	uint32_t i;
 
 	for (i = 0; table->count && i < SUSPECT_MAX_ENTRIES; i++)
-		if (table->keys[i] && table->entries[i].urgent)
+		if (table->keys[i] && table->entries[i].broadcasts_left)
 			return true;
 	return false;
 }
@@ -565,7 +565,7 @@
 				 struct suspect_update *updates,
 				 uint32_t max_count)
 {
-	uint32_t first = table->told;
+	uint32_t first = table->next_update;
 	uint32_t count = 0;
 	uint32_t i;
 
@@ -575,12 +575,13 @@
 		uint32_t at = (first + i) % SUSPECT_MAX_ENTRIES;
 		struct suspect *entry = &table->entries[at];
 
-		if (!table->keys[at] || (!entry->tells && !entry->rounds))
+		if (!table->keys[at] ||
+		    (!entry->heartbeats_left && !entry->rounds))
 			continue;
-		if (entry->tells)
-			entry->tells--;
+		if (entry->heartbeats_left)
+			entry->heartbeats_left--;
 		fill_update(table, entry, node, now_us, &updates[count++]);
-		table->told = at + 1;
+		table->next_update = at + 1;
 	}
 	return count;
 }
@@ -592,7 +593,7 @@
 	drop_ended_runs(table, now_us);
 	for (i = 0; table->count && i < SUSPECT_MAX_ENTRIES; i++) {
 		const struct suspect *entry = &table->entries[i];
-		bool cleared = !entry->counted && !entry->rounds;
+		bool cleared = !entry->counted_crashes && !entry->rounds;
 		uint64_t keep_us = cleared ? CLEARED_TTL_US : SUSPECT_TTL_US;
 		uint64_t from_us = MAX(entry->updated_us, entry->until_us);
 
--- a/packages/core/suspect_table.h
+++ b/packages/core/suspect_table.h
@@ -80,7 +80,7 @@
 #define SUSPECT_TEXT_SIZE 96
 
 struct suspect_crash {
-	uint32_t life; /* of the backend server */
+	uint32_t incarnation; /* of the backend server */
 	uint32_t domain; /* hash of its failure domain; 0: unknown */
 	uint64_t at_us;
 	uint64_t ran_us; /* how long the request had been running there */
@@ -90,12 +90,12 @@
 	uint64_t fingerprint;
 	struct suspect_crash crashes[SUSPECT_MAX_CRASHES];
 	uint32_t crash_count;
-	uint32_t counted; /* crashes that count as evidence */
+	uint32_t counted_crashes; /* crashes that count as evidence */
 	uint32_t rounds; /* consecutive quarantines; 0: none */
 	bool by_hand; /* quarantined by an operator, without crashes */
 	bool seen_locally; /* this node saw a server crash while running it */
-	uint8_t urgent; /* broadcasts to all nodes that are due */
-	uint8_t tells; /* heartbeats that still carry it */
+	uint8_t broadcasts_left; /* broadcasts to all nodes that are due */
+	uint8_t heartbeats_left; /* heartbeats that still carry it */
 	uint64_t until_us; /* end of the latest quarantine */
 	uint64_t cleared_us; /* crashes up to then don't count */
 	uint64_t updated_us; /* time of the last change */
@@ -107,9 +107,10 @@
 struct suspect_run {
 	uint64_t fingerprint;
 	uint32_t node; /* hash of the name of the node that sent it */
-	uint32_t life; /* of the server; 0: a claim, no server chosen yet */
+	uint32_t incarnation; /* of the server; 0: a claim, no server chosen yet
+			       */
 	uint64_t until_us; /* ends by then at the latest */
-	bool apart; /* other suspects keep away from its server */
+	bool isolated; /* other suspects keep away from its server */
 };
 
 /* A moment at which several servers of a failure domain crashed. */
@@ -124,7 +125,7 @@
 	uint32_t count;
 	struct suspect_run runs[SUSPECT_MAX_RUNS];
 	uint32_t run_count;
-	uint32_t told; /* index at which the next heartbeat goes on */
+	uint32_t next_update; /* index at which the next heartbeat goes on */
 	struct suspect_domain_outage domain_outages[SUSPECT_MAX_DOMAIN_OUTAGES];
 	uint32_t domain_outage_next; /* next index to be overwritten */
 };
@@ -146,8 +147,9 @@
 
 struct suspect_decision {
 	enum suspect_verdict verdict;
-	bool apart; /* run only at servers without other suspects */
-	bool claims; /* claim it and don't run it yet; see suspect_claim() */
+	bool isolated; /* run only at servers without other suspects */
+	bool needs_claim; /* claim it and don't run it yet; see suspect_claim()
+			   */
 	uint64_t left_us; /* of the quarantine */
 };
 
@@ -221,7 +223,7 @@
  * Whether a suspect is running at this server; isolated_only: only one that
  * other suspects keep away from.
  */
-bool suspect_runs_on(const struct suspect_table *table, uint32_t life,
+bool suspect_runs_on(const struct suspect_table *table, uint32_t incarnation,
 		     bool isolated_only, uint64_t now_us);
 
 /*
--- a/packages/edge/admin_suspects.c
+++ b/packages/edge/admin_suspects.c
@@ -16,7 +16,7 @@
 static const char *state_of(const struct suspect *suspect, uint64_t now_us)
 {
 	if (!suspect->rounds)
-		return suspect->counted ? "suspect" : "cleared";
+		return suspect->counted_crashes ? "suspect" : "cleared";
 	return suspect->until_us > now_us ? "quarantined" : "to be tried";
 }
 
@@ -27,7 +27,7 @@
 	uint32_t i;
 
 	for (i = 0; i < suspect->crash_count; i++) {
-		uint32_t life = suspect->crashes[i].life;
+		uint32_t life = suspect->crashes[i].incarnation;
 		const struct backend *backend =
 			backend_table_find_life(edge->backends, life);
 
--- a/packages/edge/beat.c
+++ b/packages/edge/beat.c
@@ -62,7 +62,7 @@
 	g_variant_builder_init(rates, G_VARIANT_TYPE(RATES_TYPE));
 	for (i = 0; i < beat->rate_count; i++)
 		g_variant_builder_add(
-			rates, "(udu)", beat->rates[i].life,
+			rates, "(udu)", beat->rates[i].incarnation,
 			beat->rates[i].per_s,
 			(guint32)(beat->rates[i].age_us / US_PER_MS));
 }
@@ -296,7 +296,7 @@
 	       g_variant_iter_next(iter, "(udu)", &life, &per_s, &age_ms)) {
 		struct rate_update *word = &beat->rates[beat->rate_count++];
 
-		word->life = life;
+		word->incarnation = life;
 		word->per_s = per_s;
 		word->age_us = age_ms * US_PER_MS;
 	}
--- a/packages/edge/crash_watch.c
+++ b/packages/edge/crash_watch.c
@@ -176,7 +176,7 @@
 static void report(struct edge *edge, const struct request_break *one)
 {
 	const struct suspect_crash crash = {
-		.life = one->backend->life,
+		.incarnation = one->backend->life,
 		.at_us = one->at_us,
 		.ran_us = one->at_us - one->sent_us,
 	};
--- a/packages/edge/exchange_suspect.c
+++ b/packages/edge/exchange_suspect.c
@@ -151,11 +151,11 @@
 	case SUSPECT_QUARANTINED:
 		return refuse_quarantined(exchange, ruling.left_us, cause);
 	case SUSPECT_MAY_RUN:
-		if (ruling.claims)
+		if (ruling.needs_claim)
 			return claim(exchange, cause);
 		exchange->is_suspect = true;
-		exchange->query.apart = ruling.apart ? CHOOSE_APART_ONLY :
-						       CHOOSE_APART;
+		exchange->query.apart = ruling.isolated ? CHOOSE_APART_ONLY :
+							  CHOOSE_APART;
 		break;
 	case SUSPECT_NONE:
 		break;
@@ -169,9 +169,9 @@
 	const struct suspect_run run = {
 		.fingerprint = exchange->fingerprint,
 		.node = edge->members->self->hash,
-		.life = exchange->choice.backend->life,
+		.incarnation = exchange->choice.backend->life,
 		.until_us = exchange->due_us + RUN_END_US,
-		.apart = exchange->query.apart == CHOOSE_APART_ONLY,
+		.isolated = exchange->query.apart == CHOOSE_APART_ONLY,
 	};
 
 	if (!exchange->is_suspect)
--- a/packages/edge/quarantine_store.c
+++ b/packages/edge/quarantine_store.c
@@ -77,7 +77,8 @@
 	record->written_ms = real_ms();
 	record->by_hand = suspect->by_hand;
 	for (i = 0; i < MIN(suspect->crash_count, QUARANTINE_LIVES); i++)
-		record->lives[record->life_count++] = suspect->crashes[i].life;
+		record->lives[record->life_count++] =
+			suspect->crashes[i].incarnation;
 	record->request = (char *)suspect->text;
 }
 
--- a/packages/edge/server_limits.c
+++ b/packages/edge/server_limits.c
@@ -51,7 +51,7 @@
 
 		if (is_limited)
 			share(edge, backend);
-		if (is_limited || backend->limit.urgent)
+		if (is_limited || backend->limit.broadcasts_left)
 			are_limited = true;
 	}
 	edge->are_limited = are_limited;
@@ -64,7 +64,7 @@
 	share(edge, backend);
 	log_event(LOG_INFO, "backend-limit",
 		  "backend=%s per_s=%g part_per_s=%g by=%s", backend->id,
-		  backend->limit.per_s, backend->limit.part_per_s, by);
+		  backend->limit.per_s, backend->limit.quota_per_s, by);
 }
 
 void server_limits_heard(struct edge *edge, struct backend *backend,
@@ -85,7 +85,7 @@
 				     edge_now_us(edge)))
 		return;
 	note_change(edge, backend, "answer");
-	backend->limit.urgent = URGENT_TELLS;
+	backend->limit.broadcasts_left = URGENT_TELLS;
 	if (edge->gossip)
 		gossip_tell_words(edge->gossip);
 }
@@ -93,7 +93,7 @@
 bool server_limits_take(struct edge *edge, const struct rate_update *word)
 {
 	struct backend *backend =
-		backend_table_find_life(edge->backends, word->life);
+		backend_table_find_life(edge->backends, word->incarnation);
 	uint64_t now_us = edge_now_us(edge);
 
 	if (!rate_limit_update_is_valid(word))
@@ -161,7 +161,7 @@
 static void fill_word(const struct edge *edge, const struct backend *backend,
 		      struct rate_update *word)
 {
-	word->life = backend->life;
+	word->incarnation = backend->life;
 	word->per_s = backend->limit.per_s;
 	word->age_us = edge_now_us(edge) - backend->limit.learned_us;
 }
@@ -180,10 +180,10 @@
 	while (count < most && g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct backend *backend = value;
 
-		if (!backend->limit.urgent ||
+		if (!backend->limit.broadcasts_left ||
 		    now_us - backend->limit.broadcast_us < URGENT_SPACING_US)
 			continue;
-		backend->limit.urgent--;
+		backend->limit.broadcasts_left--;
 		backend->limit.broadcast_us = now_us;
 		fill_word(edge, backend, &words[count++]);
 	}
@@ -221,7 +221,7 @@
 		return false;
 	g_hash_table_iter_init(&iter, edge->backends->by_id);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		if (((struct backend *)value)->limit.urgent)
+		if (((struct backend *)value)->limit.broadcasts_left)
 			return true;
 	return false;
 }
--- a/tests/core/suspect_fleet.h
+++ b/tests/core/suspect_fleet.h
@@ -75,7 +75,7 @@
 				kill_all();
 			if (!ending_) {
 				arrive();
-				crash_by_themselves();
+				crash_without_cause();
 				lose_power();
 			}
 			end_runs();
@@ -122,7 +122,7 @@
 	uint64_t now_us = START_US;
 	std::vector<Stats> stats;
 	int shared = 0; /* harmless requests whose server crashed */
-	int shared_served = 0;
+	int shared_answered = 0;
 	std::vector<uint64_t> served_after_us; /* time from their first crash */
 
       private:
@@ -136,7 +136,7 @@
 		int region;
 		uint64_t broadcast_at_us = 0; /* time of the next broadcast; 0:
 						 none */
-		uint64_t beat_us;
+		uint64_t heartbeat_us;
 		uint64_t ready_us = 0; /* refuses all requests before */
 		~Node()
 		{
@@ -203,7 +203,7 @@
 	{
 		nodes_.push_back(std::make_unique<Node>());
 		nodes_.back()->region = (int)nodes_.size() % REGIONS;
-		nodes_.back()->beat_us =
+		nodes_.back()->heartbeat_us =
 			now_us + (uint64_t)below(400) * US_PER_MS;
 	}
 	/*
@@ -216,7 +216,7 @@
 			"d" + std::to_string(server.number % DOMAINS);
 		struct backend_facts facts = {};
 
-		server.id = "i-" + std::to_string(next_life_++);
+		server.id = "i-" + std::to_string(next_incarnation_++);
 		facts.id = server.id.c_str();
 		facts.service = "s";
 		facts.domain = domain.c_str();
@@ -296,7 +296,7 @@
 				continue;
 			if (!suspect_runs_on(node.table, server.life,
 					     !is_suspect, now_us) ||
-			    (i > 100 && !decision.apart))
+			    (i > 100 && !decision.isolated))
 				return &server;
 		}
 		return nullptr;
@@ -319,7 +319,7 @@
 		if (decision.verdict == SUSPECT_RUNNING ||
 		    decision.verdict == SUSPECT_QUARANTINED)
 			return;
-		if (decision.claims) {
+		if (decision.needs_claim) {
 			suspect_claim(node.table, run.fingerprint,
 				      (uint32_t)run.node, now_us);
 			schedule_broadcast(node);
@@ -342,7 +342,7 @@
 			const struct suspect_run noted = {
 				run.fingerprint, (uint32_t)run.node,
 				server->life, run.end_us + US_PER_S,
-				decision.apart
+				decision.isolated
 			};
 			suspect_begin_run(node.table, &noted);
 			schedule_broadcast(node);
@@ -388,7 +388,7 @@
 	}
 	void answer(const Run &run)
 	{
-		shared_served += run.shared;
+		shared_answered += run.shared;
 		if (run.shared)
 			served_after_us.push_back(now_us - run.broke_us);
 		suspect_clear(nodes_[run.node]->table, run.fingerprint, now_us);
@@ -454,7 +454,7 @@
 			if (servers_[i].back_us <= now_us)
 				crash(servers_[i], nullptr);
 	}
-	void crash_by_themselves()
+	void crash_without_cause()
 	{
 		if (!happens(case_.crashes_per_s))
 			return;
@@ -491,8 +491,8 @@
 			if (node.broadcast_at_us &&
 			    node.broadcast_at_us <= now_us)
 				broadcast(i);
-			if (node.beat_us <= now_us)
-				beat(i);
+			if (node.heartbeat_us <= now_us)
+				send_heartbeat(i);
 		}
 	}
 	void broadcast(size_t from)
@@ -509,14 +509,14 @@
 					       now_us + 40 * US_PER_MS :
 					       0;
 	}
-	void beat(size_t from)
+	void send_heartbeat(size_t from)
 	{
 		Node &node = *nodes_[from];
 		struct suspect_update updates[4];
 		uint32_t count = suspect_collect_updates(
 			node.table, (uint32_t)from, now_us, updates, 4);
 
-		node.beat_us = now_us + 400 * US_PER_MS;
+		node.heartbeat_us = now_us + 400 * US_PER_MS;
 		drop_rows(node);
 		if (node.ready_us > now_us)
 			update_starting_node(from);
@@ -586,8 +586,8 @@
 
 			suspect_table_free(node.table);
 			node.table = suspect_table_new();
-			node.beat_us = now_us + US_PER_S +
-				       (uint64_t)below(400) * US_PER_MS;
+			node.heartbeat_us = now_us + US_PER_S +
+					    (uint64_t)below(400) * US_PER_MS;
 			node.ready_us = now_us + US_PER_S +
 					(is_reader(i) ? 300 : 700) * US_PER_MS;
 			for (uint64_t fingerprint : stored_)
@@ -629,7 +629,7 @@
 	std::vector<Crash> history_;
 	std::set<uint64_t> stored_;
 	bool ending_ = false;
-	uint32_t next_life_ = 1;
+	uint32_t next_incarnation_ = 1;
 	uint64_t next_fingerprint_ = 1000;
 };
 
--- a/tests/core/suspect_fleet_test.cc
+++ b/tests/core/suspect_fleet_test.cc
@@ -82,7 +82,7 @@
 			     fleet.wrong_history());
 		expect_bounds(fleet, c);
 		shared += fleet.shared;
-		served += fleet.shared_served;
+		served += fleet.shared_answered;
 		after_us.insert(after_us.end(), fleet.served_after_us.begin(),
 				fleet.served_after_us.end());
 	}
--- a/tests/core/suspect_table_test.cc
+++ b/tests/core/suspect_table_test.cc
@@ -90,7 +90,7 @@
 	const char *name;
 	int crashes;
 	enum suspect_verdict verdict;
-	bool apart;
+	bool isolated;
 };
 
 const count_case count_cases[] = {
@@ -110,7 +110,7 @@
 {
 	crash_times(GetParam().crashes);
 	EXPECT_EQ(GetParam().verdict, decide().verdict);
-	EXPECT_EQ(GetParam().apart, decide().apart);
+	EXPECT_EQ(GetParam().isolated, decide().isolated);
 	EXPECT_EQ(SUSPECT_NONE, decide(FINGERPRINT + 1).verdict);
 }
 
@@ -191,13 +191,13 @@
 		suspect_table_find(table, 100 + (uint64_t)c.ended - 1);
 
 	EXPECT_EQ(1u, last->crash_count);
-	EXPECT_EQ(c.counted, last->counted);
+	EXPECT_EQ(c.counted, last->counted_crashes);
 	EXPECT_EQ(c.has_culprit,
 		  decide(culprit).verdict == SUSPECT_QUARANTINED);
 	now_us += US_PER_S;
 	for (int i = 0; i < 2; i++)
 		crash(next_life++, last->fingerprint);
-	EXPECT_EQ(c.counted + 2, last->counted);
+	EXPECT_EQ(c.counted + 2, last->counted_crashes);
 }
 
 INSTANTIATE_TEST_SUITE_P(Cases, DomainTest, ::testing::ValuesIn(domain_cases),
@@ -324,7 +324,7 @@
 		EXPECT_EQ(SUSPECT_QUARANTINED,
 			  decide(FINGERPRINT, false).verdict);
 		EXPECT_EQ(SUSPECT_MAY_RUN, decide(FINGERPRINT, true).verdict);
-		EXPECT_TRUE(decide(FINGERPRINT, true).apart);
+		EXPECT_TRUE(decide(FINGERPRINT, true).isolated);
 		crash(next_life++);
 		EXPECT_EQ(SUSPECT_QUARANTINED,
 			  decide(FINGERPRINT, true).verdict);
@@ -556,7 +556,7 @@
 		claimer.next_us = now_us_ + LOOK_US;
 		if (decision.verdict != SUSPECT_MAY_RUN)
 			return;
-		if (decision.claims)
+		if (decision.needs_claim)
 			claim(claimer);
 		else
 			run(claimer);
@@ -688,12 +688,12 @@
 TEST_F(SuspectTest, ExpiredClaimMustBeRepeated)
 {
 	crash_times(2);
-	EXPECT_TRUE(decide().claims);
+	EXPECT_TRUE(decide().needs_claim);
 	suspect_claim(table, FINGERPRINT, SELF, now_us);
 	now_us += SUSPECT_CLAIM_WAIT_US;
-	EXPECT_FALSE(decide(FINGERPRINT, false, true).claims);
+	EXPECT_FALSE(decide(FINGERPRINT, false, true).needs_claim);
 	now_us += SUSPECT_CLAIM_WAIT_US;
-	EXPECT_TRUE(decide(FINGERPRINT, false, true).claims);
+	EXPECT_TRUE(decide(FINGERPRINT, false, true).needs_claim);
 }
 
 /* --- updates between nodes ---------------------------------------------- */
--- a/tests/edge/beat_test.cc
+++ b/tests/edge/beat_test.cc
@@ -107,7 +107,7 @@
 	std::string bytes = encode(beat);
 	ASSERT_LE(bytes.size(), (size_t)BEAT_MAX_BYTES);
 	ASSERT_TRUE(beat_decode(bytes.data(), bytes.size(), &got));
-	EXPECT_EQ(7u, got.rates[19].life);
+	EXPECT_EQ(7u, got.rates[19].incarnation);
 	EXPECT_DOUBLE_EQ(1.8, got.rates[19].per_s);
 	EXPECT_EQ(2000000u, got.rates[19].age_us);
 	EXPECT_EQ(9u, got.tokens[7].life);
--- a/tests/edge/gossip_test.cc
+++ b/tests/edge/gossip_test.cc
@@ -496,7 +496,7 @@
 		member_heard(neighbour, 1, false, edge_now_us(edge));
 		const struct rate_update word = { backend->life, 1, 0 };
 		ASSERT_TRUE(server_limits_take(edge, &word));
-		ASSERT_DOUBLE_EQ(0, backend->limit.part_per_s);
+		ASSERT_DOUBLE_EQ(0, backend->limit.quota_per_s);
 	}
 	/* The node's question for a token reaches the neighbour. */
 	bool was_asked()
