--- a/tests/core/suspect_table_test.cc
+++ b/tests/core/suspect_table_test.cc
@@ -33,9 +33,9 @@
 	 * The server of this incarnation crashes, 100 ms after the request
 	 * came.
 	 */
-	bool crash(uint32_t life, uint64_t fingerprint = FINGERPRINT)
+	bool crash(uint32_t incarnation, uint64_t fingerprint = FINGERPRINT)
 	{
-		const struct suspect_crash crash = { life, 0, now_us,
+		const struct suspect_crash crash = { incarnation, 0, now_us,
 						     100 * US_PER_MS };
 
 		return suspect_add_own_crash(table, fingerprint, backends,
@@ -131,9 +131,9 @@
 /* Guards against counting a domain's power failure as one crash per server. */
 TEST_F(SuspectTest, SimultaneousCrashesDontQuarantine)
 {
-	for (uint32_t life = 1; life <= 8; life++) {
+	for (uint32_t incarnation = 1; incarnation <= 8; incarnation++) {
 		now_us += 5 * US_PER_MS;
-		crash(life);
+		crash(incarnation);
 	}
 	EXPECT_EQ(SUSPECT_MAY_RUN, decide().verdict);
 }
@@ -159,9 +159,9 @@
 		   public ::testing::WithParamInterface<domain_case>
 {
       protected:
-	void end(uint32_t life, uint64_t fingerprint)
+	void end(uint32_t incarnation, uint64_t fingerprint)
 	{
-		const struct suspect_crash crash = { life, 0, now_us,
+		const struct suspect_crash crash = { incarnation, 0, now_us,
 						     5 * US_PER_MS };
 
 		suspect_add_own_crash(table, fingerprint, backends, &crash,
@@ -176,16 +176,16 @@
 {
 	const domain_case &c = GetParam();
 	const uint64_t culprit = 77;
-	std::vector<uint32_t> lives;
+	std::vector<uint32_t> incarnations;
 
 	for (int i = 0; i < c.servers; i++)
-		lives.push_back(
+		incarnations.push_back(
 			add_backend(("i-" + std::to_string(i)).c_str())->life);
 	for (int i = 0; i < c.ended; i++) {
 		now_us += 10 * US_PER_MS;
-		end(lives[(size_t)i], 100 + (uint64_t)i);
+		end(incarnations[(size_t)i], 100 + (uint64_t)i);
 		if (c.has_culprit)
-			end(lives[(size_t)i], culprit);
+			end(incarnations[(size_t)i], culprit);
 	}
 	const struct suspect *last =
 		suspect_table_find(table, 100 + (uint64_t)c.ended - 1);
@@ -219,8 +219,8 @@
 /* Guards against taking crashes by quick, successive runs for one cause. */
 TEST_F(SuspectTest, RunStartedAfterACrashCountsSeparately)
 {
-	for (uint32_t life = 1; life <= 3; life++) {
-		const struct suspect_crash crash = { life, 0, now_us,
+	for (uint32_t incarnation = 1; incarnation <= 3; incarnation++) {
+		const struct suspect_crash crash = { incarnation, 0, now_us,
 						     2 * US_PER_MS };
 
 		suspect_add_own_crash(table, FINGERPRINT, backends, &crash,
@@ -423,15 +423,15 @@
 {
 	const attribution_case &c = GetParam();
 
-	for (uint32_t life = 1; life < 10; life++) {
+	for (uint32_t incarnation = 1; incarnation < 10; incarnation++) {
 		now_us += US_PER_S;
 		for (int i = 0; i < 5; i++) {
-			if (c.beside[i] == life)
-				crash(life, FINGERPRINT);
-			if (c.deadly[i] == life)
-				crash(life, FINGERPRINT + 1);
-			if (c.other[i] == life)
-				crash(life, FINGERPRINT + 2);
+			if (c.beside[i] == incarnation)
+				crash(incarnation, FINGERPRINT);
+			if (c.deadly[i] == incarnation)
+				crash(incarnation, FINGERPRINT + 1);
+			if (c.other[i] == incarnation)
+				crash(incarnation, FINGERPRINT + 2);
 		}
 	}
 	EXPECT_EQ(c.beside_is_quarantined, is_quarantined(FINGERPRINT));
@@ -448,10 +448,10 @@
  */
 TEST_F(SuspectTest, AnswerLeavesTheCrashesToTheOtherRequest)
 {
-	for (uint32_t life = 1; life <= 3; life++) {
+	for (uint32_t incarnation = 1; incarnation <= 3; incarnation++) {
 		now_us += US_PER_S;
-		crash(life, FINGERPRINT);
-		crash(life, FINGERPRINT + 1);
+		crash(incarnation, FINGERPRINT);
+		crash(incarnation, FINGERPRINT + 1);
 	}
 	EXPECT_EQ(SUSPECT_MAY_RUN, decide(FINGERPRINT).verdict);
 	EXPECT_EQ(SUSPECT_MAY_RUN, decide(FINGERPRINT + 1).verdict);
@@ -471,7 +471,7 @@
 	bool has_claimed = false;
 	uint64_t next_us = 0; /* time of the next attempt */
 	uint64_t began_us = 0; /* start of its run; 0: none yet */
-	uint32_t life = 0; /* chosen server */
+	uint32_t incarnation = 0; /* chosen server */
 };
 
 /* Such nodes, updates between them, and servers 1 to 9. */
@@ -575,12 +575,13 @@
 	void run(ClaimingNode &claimer)
 	{
 		claimer.began_us = now_us_;
-		claimer.life = 1;
-		while (suspect_runs_on(claimer.table, claimer.life, false,
-				       now_us_))
-			claimer.life++;
+		claimer.incarnation = 1;
+		while (suspect_runs_on(claimer.table, claimer.incarnation,
+				       false, now_us_))
+			claimer.incarnation++;
 		const struct suspect_run run = { claimer.fingerprint,
-						 claimer.node, claimer.life,
+						 claimer.node,
+						 claimer.incarnation,
 						 now_us_ + RUN_US, true };
 
 		suspect_begin_run(claimer.table, &run);
@@ -664,10 +665,10 @@
 			c.update_ms * US_PER_MS);
 
 		simulation.play();
-		EXPECT_NE(0u, simulation.claimers[0].life);
-		EXPECT_NE(0u, simulation.claimers[1].life);
-		EXPECT_NE(simulation.claimers[0].life,
-			  simulation.claimers[1].life);
+		EXPECT_NE(0u, simulation.claimers[0].incarnation);
+		EXPECT_NE(0u, simulation.claimers[1].incarnation);
+		EXPECT_NE(simulation.claimers[0].incarnation,
+			  simulation.claimers[1].incarnation);
 	}
 }
 
