--- a/packages/core/suspect_table.c
+++ b/packages/core/suspect_table.c
@@ -274,7 +274,7 @@
 {
 	struct suspect *entry = suspect_table_find(table, fingerprint);
 
-	/* Other nodes wait for the end of a run that they were told about. */
+	/* Other nodes wait for the end of a run that they know of. */
 	if (take_out_run(table, fingerprint, node) && entry)
 		schedule_broadcast(entry);
 }
--- a/tests/core/rate_limit_test.cc
+++ b/tests/core/rate_limit_test.cc
@@ -504,8 +504,8 @@
 			put(node.members, other);
 		all.push_back(node);
 	}
-	/* Every member is heard all the time, except across the partition. */
-	void keep_heard(Node &node)
+	/* Members send heartbeats all the time, except across the partition. */
+	void receive_heartbeats(Node &node)
 	{
 		GHashTableIter iter;
 		gpointer value;
@@ -533,7 +533,7 @@
 		if (now_us - node.shared_us < 200000)
 			return;
 		node.shared_us = now_us;
-		keep_heard(node);
+		receive_heartbeats(node);
 		double rate = rate_limit_effective(&node.limit, now_us);
 		double part = waits ? 0 :
 				      rate_limit_quota(node.members, "r0",
--- a/tests/core/share_test.cc
+++ b/tests/core/share_test.cc
@@ -170,7 +170,7 @@
  */
 TEST(Share, SumNeverExceedsTheSlotsInAnyOrder)
 {
-	uint32_t most = 0;
+	uint32_t max_in_flight = 0;
 
 	for (uint32_t seed = 1; seed <= 300; seed++) {
 		Place place(seed);
@@ -179,9 +179,10 @@
 			place.step();
 			ASSERT_LE(place.in_flight(), Place::SLOTS)
 				<< "seed " << seed << " step " << i;
-			most = std::max(most, place.in_flight());
+			max_in_flight =
+				std::max(max_in_flight, place.in_flight());
 		}
 	}
 	/* All slots do get used. */
-	EXPECT_EQ(Place::SLOTS, most);
+	EXPECT_EQ(Place::SLOTS, max_in_flight);
 }
--- a/tests/core/suspect_fleet_test.cc
+++ b/tests/core/suspect_fleet_test.cc
@@ -14,8 +14,8 @@
 /*
  * name; nodes, servers; deadly requests, times per second of each, at random
  * times; harmless requests per second and server; crashes per second without a
- * cause; power failures; all nodes killed; a region partitioned; most crashes,
- * most late runs
+ * cause; power failures; all nodes killed; a region partitioned; maximum of
+ * crashes and of late runs
  */
 const fleet_case cases[] = {
 	{ "Eight", 8, 12, 1, 5, false, 6, 0, false, false, false, 4, 0 },
