--- a/packages/core/region_flow.c
+++ b/packages/core/region_flow.c
@@ -73,10 +73,10 @@
 
 static bool belongs_elsewhere(const struct region_flow *flow, uint32_t object)
 {
-	double place = (double)hash_pair(object, LEAVING_ORDER_SEED) /
-		       18446744073709551616.0;
+	double position = (double)hash_pair(object, LEAVING_ORDER_SEED) /
+			  18446744073709551616.0;
 
-	return place < flow->share;
+	return position < flow->share;
 }
 
 /* A request without an object needs no cache and waits for little credit. */
