--- a/packages/core/choose.c
+++ b/packages/core/choose.c
@@ -195,7 +195,7 @@
 		.has_object = query->has_object &&
 			      !(chooser->disabled & CHOOSE_LEAVE_BY_OBJECT),
 		.object = query->object,
-		.free = lost_server_lately(chooser, now_us),
+		.skip_limits = lost_server_lately(chooser, now_us),
 	};
 }
 
@@ -262,7 +262,7 @@
 
 	if (chooser->disabled & CHOOSE_ADMIT)
 		return verdict != ADMISSION_TOO_LATE;
-	return verdict == ADMISSION_TAKE;
+	return verdict == ADMISSION_ACCEPT;
 }
 
 /* Sum of the rates of servers that only their rate limit excludes, per s. */
@@ -280,19 +280,19 @@
 
 		if (candidate_blocked(chooser, query, backend, now_us) ==
 		    CHOOSE_LIMITED)
-			per_s += rate_limit_in_force(&backend->limit, now_us);
+			per_s += rate_limit_effective(&backend->limit, now_us);
 	}
 	return per_s;
 }
 
-static struct admission_returns *returns_of(struct chooser *chooser,
-					    const char *service)
+static struct admission_retry_schedule *returns_of(struct chooser *chooser,
+						   const char *service)
 {
-	struct admission_returns *returns =
+	struct admission_retry_schedule *returns =
 		g_hash_table_lookup(chooser->returns, service);
 
 	if (!returns) {
-		returns = g_new0(struct admission_returns, 1);
+		returns = g_new0(struct admission_retry_schedule, 1);
 		g_hash_table_insert(chooser->returns, g_strdup(service),
 				    returns);
 	}
@@ -306,9 +306,10 @@
 {
 	uint32_t nodes = member_table_count(chooser->members);
 
-	return admission_return_us(returns_of(chooser, query->service->name),
-				   per_s / MAX(nodes, 1), query->patience_us,
-				   g_random_double(), now_us);
+	return admission_schedule_retry_us(
+		returns_of(chooser, query->service->name),
+		per_s / MAX(nodes, 1), query->patience_us, g_random_double(),
+		now_us);
 }
 
 static void refuse(struct chooser *chooser, const struct choose_query *query,
--- a/packages/core/choose.h
+++ b/packages/core/choose.h
@@ -53,7 +53,7 @@
 	const char *region; /* of this node */
 	GHashTable *links; /* region -> struct link_time */
 	GHashTable *flows; /* service -> struct region_flow */
-	GHashTable *returns; /* service -> struct admission_returns */
+	GHashTable *returns; /* service -> struct admission_retry_schedule */
 	double trial_credit; /* trials allowed now; see CHOOSE_TRIAL */
 	uint32_t disabled; /* enum choose_mechanism; 0 except in experiments */
 };
--- a/packages/core/region_flow.c
+++ b/packages/core/region_flow.c
@@ -6,13 +6,13 @@
 #include "core/duration.h"
 #include "core/hash.h"
 
-/* Weight of one choice in the smoothed wish: about the last 30 choices. */
-#define WISH_WEIGHT 0.03
+/* Weight of one choice in the wanted share: about the last 30 choices. */
+#define WANTED_WEIGHT 0.03
 
 /*
- * Most that the share moves a second. Two windows of 2 s next to each other
- * then differ by 0.06 on average, under the usual bound of 0.15 with room for
- * the noise of some hundred requests.
+ * Largest change of the share per second. Adjacent windows of 2 s then differ
+ * by 0.06 on average, below the usual bound of 0.15 with a margin for the noise
+ * of some hundred requests.
  */
 #define STEP_PER_S 0.05
 
@@ -20,31 +20,33 @@
 #define EXCESS_WEIGHT 0.01
 
 /*
- * Requests that may leave ahead of the share, and that are owed to it at most;
- * from CREDIT_DUE on one leaves although it would rather stay. The noise of
- * some hundred requests stays within that, so that objects keep their side; a
- * jump of more is spread over seconds. The most lies above that by more than
- * one request, or a share near 1 would lose what it is owed.
+ * Bounds of the credit, which is negative after more requests left than the
+ * share allows. From CREDIT_DUE on, a request leaves although its object is
+ * served here. The noise of some hundred requests stays within the bounds, so
+ * that objects stay in their region; a larger jump is spread over seconds.
+ * CREDIT_MAX exceeds CREDIT_DUE by more than one request, or a share near 1
+ * would lose credit.
  */
-#define CREDIT_LEAST (-6.0)
+#define CREDIT_MIN (-6.0)
 #define CREDIT_DUE 6.0
-#define CREDIT_MOST 8.0
+#define CREDIT_MAX 8.0
 
-/* The same for requests without an object. */
-#define PLAIN_CREDIT_DUE 1.5
+/* CREDIT_DUE for requests without an object. */
+#define CREDIT_DUE_WITHOUT_OBJECT 1.5
 
 /*
- * Hashed with an object for its place among those that leave, which then has
- * nothing to do with the order of the servers for it.
+ * Hashed with an object for its position in the order of those that leave,
+ * which is then independent of the order of servers for the object.
  */
-#define LEAVING_ORDER 0x1eaf1eafu
+#define LEAVING_ORDER_SEED 0x1eaf1eafu
 
-/* A stretch without requests allows one step of this length at most. */
-#define STEP_MOST_US US_PER_S
+/* Longest time that one step accounts for, after a period without requests. */
+#define MAX_STEP_US US_PER_S
 
-static double stepped(double from, double to, double most)
+static double step_towards(double from, double to, double max_step)
 {
-	return to > from ? fmin(to, from + most) : fmax(to, from - most);
+	return to > from ? fmin(to, from + max_step) :
+			   fmax(to, from - max_step);
 }
 
 static void move_shares(struct region_flow *flow, uint64_t now_us)
@@ -52,13 +54,13 @@
 	uint64_t passed_us = now_us - flow->moved_us;
 	double step;
 
-	if (passed_us > STEP_MOST_US)
-		passed_us = STEP_MOST_US;
+	if (passed_us > MAX_STEP_US)
+		passed_us = MAX_STEP_US;
 	step = STEP_PER_S * (double)passed_us / (double)US_PER_S;
 	flow->moved_us = now_us;
-	flow->share = stepped(flow->share, flow->wanted, step);
+	flow->share = step_towards(flow->share, flow->wanted, step);
 	flow->granted =
-		stepped(flow->granted, flow->share + flow->excess, step);
+		step_towards(flow->granted, flow->share + flow->excess, step);
 }
 
 void region_flow_init(struct region_flow *flow, double share)
@@ -71,31 +73,31 @@
 
 static bool belongs_elsewhere(const struct region_flow *flow, uint32_t object)
 {
-	double place = (double)hash_pair(object, LEAVING_ORDER) /
-		       18446744073709551616.0;
+	double position = (double)hash_pair(object, LEAVING_ORDER_SEED) /
+			  18446744073709551616.0;
 
-	return place < flow->share;
+	return position < flow->share;
 }
 
-/* Without an object there is no side to keep, and little to be put off. */
+/* A request without an object needs no cache and waits for little credit. */
 static double credit_needed(const struct region_flow_request *request,
 			    bool elsewhere)
 {
 	if (request->has_object)
-		return elsewhere ? CREDIT_LEAST + 1.0 : CREDIT_DUE;
-	return elsewhere ? 0 : PLAIN_CREDIT_DUE;
+		return elsewhere ? CREDIT_MIN + 1.0 : CREDIT_DUE;
+	return elsewhere ? 0 : CREDIT_DUE_WITHOUT_OBJECT;
 }
 
 bool region_flow_leave(struct region_flow *flow,
 		       const struct region_flow_request *request,
 		       uint64_t now_us)
 {
-	double wish = request->prefers_to_leave ? 1.0 : 0.0;
+	double leave_wanted = request->prefers_to_leave ? 1.0 : 0.0;
 	bool elsewhere;
 	bool leave;
 
-	flow->wanted += WISH_WEIGHT * (wish - flow->wanted);
-	if (request->free) {
+	flow->wanted += WANTED_WEIGHT * (leave_wanted - flow->wanted);
+	if (request->skip_limits) {
 		flow->share = flow->wanted;
 		flow->granted = flow->wanted;
 		flow->moved_us = now_us;
@@ -109,10 +111,10 @@
 	if (request->has_object)
 		flow->excess += EXCESS_WEIGHT * ((elsewhere ? 1.0 : 0.0) -
 						 flow->share - flow->excess);
-	flow->credit = fmin(CREDIT_MOST, flow->credit + flow->granted);
+	flow->credit = fmin(CREDIT_MAX, flow->credit + flow->granted);
 	leave = flow->credit >= credit_needed(request, elsewhere);
 	if (leave)
-		flow->credit = fmax(CREDIT_LEAST, flow->credit - 1.0);
+		flow->credit = fmax(CREDIT_MIN, flow->credit - 1.0);
 	return leave;
 }
 
--- /dev/null
+++ b/packages/core/suspect_internal.h
@@ -0,0 +1,36 @@
+/*
+ * suspect_internal - shared by the files of suspect_table; not for other
+ * modules
+ */
+#ifndef CORE_SUSPECT_INTERNAL_H
+#define CORE_SUSPECT_INTERNAL_H
+
+#include "core/suspect_table.h"
+
+/*
+ * suspect_evidence.c decides which crashes count, and against which request.
+ * Adds a crash to a request; returns whether it is a new one.
+ */
+bool suspect_add_crash(struct suspect_table *table, struct suspect *entry,
+		       const struct backend_table *backends,
+		       const struct suspect_crash *crash);
+void suspect_drop_crashes_before(struct suspect *entry, uint64_t before_us);
+
+/*
+ * Recounts the crashes that are evidence against a request; returns whether the
+ * number changed.
+ */
+bool suspect_recount_crashes(struct suspect_table *table, struct suspect *entry,
+			     const struct backend_table *backends);
+
+/*
+ * Begins or lifts the first quarantine of the request and of those that shared
+ * a server with it. Later quarantines rest on a failed retry and stay.
+ */
+void suspect_reevaluate_related(struct suspect_table *table,
+				const struct suspect *related);
+
+void suspect_begin_quarantine(struct suspect *entry, uint64_t now_us);
+uint64_t suspect_quarantine_us(uint32_t rounds);
+
+#endif
--- a/packages/edge/admin_suspects.c
+++ b/packages/edge/admin_suspects.c
@@ -16,7 +16,7 @@
 static const char *state_of(const struct suspect *suspect, uint64_t now_us)
 {
 	if (!suspect->rounds)
-		return suspect->counted ? "suspect" : "cleared";
+		return suspect->counted_crashes ? "suspect" : "cleared";
 	return suspect->until_us > now_us ? "quarantined" : "to be tried";
 }
 
@@ -27,7 +27,7 @@
 	uint32_t i;
 
 	for (i = 0; i < suspect->crash_count; i++) {
-		uint32_t life = suspect->crashes[i].life;
+		uint32_t life = suspect->crashes[i].incarnation;
 		const struct backend *backend =
 			backend_table_find_incarnation(edge->backends, life);
 
@@ -58,7 +58,7 @@
 		admin_json_number(suspect->rounds),
 		admin_json_number_or_null(suspect->rounds != 0, left_us),
 		json_boolean(suspect->by_hand),
-		admin_json_number(now_us - suspect->touched_us),
+		admin_json_number(now_us - suspect->updated_us),
 		admin_json_text(suspect->text),
 	};
 
@@ -72,7 +72,7 @@
 	struct admin_table table = ADMIN_TABLE_NEW(columns);
 	uint32_t i;
 
-	for (i = 0; i < SUSPECTS_MOST; i++)
+	for (i = 0; i < SUSPECT_MAX_ENTRIES; i++)
 		if (edge->suspects->keys[i])
 			add_suspect(edge, &edge->suspects->entries[i], &table);
 	return admin_finish_table(edge, &table, "suspects");
--- a/tests/core/rate_limit_test.cc
+++ b/tests/core/rate_limit_test.cc
@@ -1,4 +1,6 @@
-/* Rates that backend servers name: how they are read, believed and shared. */
+/*
+ * Rates that backend servers report: parsing, updates, sharing and borrowing.
+ */
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -20,7 +22,7 @@
 struct parse_case {
 	const char *name;
 	std::string text;
-	double per_s; /* 0: refused */
+	double per_s; /* 0: invalid */
 };
 
 const parse_case parse_cases[] = {
@@ -61,26 +63,26 @@
 INSTANTIATE_TEST_SUITE_P(RateLimit, ParseTest, ::testing::ValuesIn(parse_cases),
 			 [](const auto &info) { return info.param.name; });
 
-/* Words on one server's rate in the order in which they come. */
-struct belief_step {
-	char from; /* 'a'nswer or 'w'ord of a neighbour */
+/* Reports of one server's rate in the order in which they arrive. */
+struct rate_step {
+	char from; /* 'a': answer of the server, 'w': update of a peer */
 	double per_s;
-	uint64_t when_s; /* asked for, or learned by the neighbour */
+	uint64_t when_s; /* request was sent, or the peer learned the rate */
 	uint64_t now_s;
-	double believed;
+	double expected_per_s;
 };
 
-struct belief_case {
+struct rate_case {
 	const char *name;
-	std::vector<belief_step> steps;
+	std::vector<rate_step> steps;
 };
 
-const belief_case belief_cases[] = {
+const rate_case rate_cases[] = {
 	{ "Named", { { 'a', 2, 10, 11, 2 } } },
 	{ "NeverNamed", { { 'a', 0, 10, 11, 0 } } },
 	{ "Lowered", { { 'a', 9, 10, 12, 9 }, { 'a', 2, 11, 13, 2 } } },
 	{ "Raised", { { 'a', 2, 10, 12, 2 }, { 'a', 9, 13, 14, 9 } } },
-	{ "Gone", { { 'a', 2, 10, 12, 2 }, { 'a', 0, 13, 14, 0 } } },
+	{ "Lifted", { { 'a', 2, 10, 12, 2 }, { 'a', 0, 13, 14, 0 } } },
 	{ "NamedAgain",
 	  { { 'a', 2, 10, 12, 2 },
 	    { 'a', 0, 13, 14, 0 },
@@ -89,49 +91,52 @@
 	  { { 'a', 2, 10, 12, 2 }, { 'a', 0, 11, 13, 2 } } },
 	{ "AnOlderAnswerWithMore",
 	  { { 'a', 2, 10, 12, 2 }, { 'a', 9, 11, 13, 2 } } },
-	{ "Told", { { 'w', 2, 10, 11, 2 } } },
-	{ "TheSameToldLater",
+	{ "PeerUpdate", { { 'w', 2, 10, 11, 2 } } },
+	{ "SameRateInALaterPeerUpdate",
 	  { { 'a', 2, 10, 11, 2 }, { 'w', 2, 10, 30, 2 } } },
-	{ "AnOlderWord", { { 'a', 2, 10, 12, 2 }, { 'w', 9, 11, 13, 2 } } },
-	{ "AnOlderWordThatItIsGone",
+	{ "OlderPeerUpdate", { { 'a', 2, 10, 12, 2 }, { 'w', 9, 11, 13, 2 } } },
+	{ "OlderPeerUpdateWithoutRate",
 	  { { 'a', 2, 10, 12, 2 }, { 'w', 0, 11, 13, 2 } } },
-	{ "ANewerWord", { { 'a', 2, 10, 12, 2 }, { 'w', 9, 13, 14, 9 } } },
-	{ "AnAnswerFromBeforeTheWord",
+	{ "NewerPeerUpdate", { { 'a', 2, 10, 12, 2 }, { 'w', 9, 13, 14, 9 } } },
+	{ "AnswerOlderThanPeerUpdate",
 	  { { 'w', 2, 12, 13, 2 }, { 'a', 0, 11, 14, 2 } } },
 };
 
-class BeliefTest : public ::testing::TestWithParam<belief_case>
+class RateSequenceTest : public ::testing::TestWithParam<rate_case>
 {
 };
 
-TEST_P(BeliefTest, TheNewestRateIsBelieved)
+TEST_P(RateSequenceTest, NewestRateWins)
 {
 	struct rate_limit limit = {};
 
-	for (const belief_step &step : GetParam().steps) {
+	for (const rate_step &step : GetParam().steps) {
 		uint64_t when_us = step.when_s * US_PER_S;
 		uint64_t now_us = step.now_s * US_PER_S;
 
 		if (step.from == 'a')
-			rate_limit_heard(&limit, step.per_s, when_us, now_us);
+			rate_limit_apply_answer(&limit, step.per_s, when_us,
+						now_us);
 		else
-			rate_limit_told(&limit, step.per_s, when_us, now_us);
-		EXPECT_DOUBLE_EQ(step.believed, limit.per_s) << step.now_s;
+			rate_limit_apply_update(&limit, step.per_s, when_us,
+						now_us);
+		EXPECT_DOUBLE_EQ(step.expected_per_s, limit.per_s)
+			<< step.now_s;
 	}
 }
 
-INSTANTIATE_TEST_SUITE_P(RateLimit, BeliefTest,
-			 ::testing::ValuesIn(belief_cases),
+INSTANTIATE_TEST_SUITE_P(RateLimit, RateSequenceTest,
+			 ::testing::ValuesIn(rate_cases),
 			 [](const auto &info) { return info.param.name; });
 
-/* A request that was chosen for the server and never sent costs it nothing. */
-TEST(RateLimitTest, WhatWasNotSentGoesBack)
+/* A request that is chosen for the server but not sent uses no token. */
+TEST(RateLimitTest, UnsentRequestReturnsItsToken)
 {
 	struct rate_limit limit = {};
 	uint64_t now_us = 10 * US_PER_S;
 
-	rate_limit_heard(&limit, 2, now_us, now_us);
-	rate_limit_share(&limit, 1, now_us);
+	rate_limit_apply_answer(&limit, 2, now_us, now_us);
+	rate_limit_set_quota(&limit, 1, now_us);
 	now_us += US_PER_S;
 	ASSERT_DOUBLE_EQ(1, rate_limit_tokens(&limit, now_us));
 	ASSERT_TRUE(rate_limit_take(&limit, now_us));
@@ -139,30 +144,33 @@
 	rate_limit_give_back(&limit, now_us);
 	EXPECT_DOUBLE_EQ(1, rate_limit_tokens(&limit, now_us));
 	EXPECT_EQ(0u, limit.sent);
-	/* A full bucket doesn't run over. */
+	/* A full bucket doesn't overflow. */
 	now_us += 100 * US_PER_S;
 	double full = rate_limit_tokens(&limit, now_us);
 	rate_limit_give_back(&limit, now_us);
 	EXPECT_DOUBLE_EQ(full, rate_limit_tokens(&limit, now_us));
 }
 
-/* A borrowed token is used once, in time, and goes back if it wasn't sent. */
-TEST(RateLimitTest, ABorrowedTokenIsUsedOnceAndInTime)
+/*
+ * A borrowed token serves one request and expires; an unsent request returns
+ * it.
+ */
+TEST(RateLimitTest, BorrowedTokenIsUsedOnceAndExpires)
 {
 	struct rate_limit limit = {};
 	uint64_t now_us = 10 * US_PER_S;
-	const uint32_t sender = 7;
+	const uint32_t holder = 7;
 
-	rate_limit_heard(&limit, 2, now_us, now_us);
-	rate_limit_answered(&limit, sender, 1, 0, now_us);
+	rate_limit_apply_answer(&limit, 2, now_us, now_us);
+	rate_limit_apply_loan(&limit, holder, 1, 0, now_us);
 	EXPECT_FALSE(rate_limit_allows(&limit, now_us));
-	rate_limit_begin_asking(&limit, 0, now_us);
-	EXPECT_TRUE(rate_limit_ask(&limit, sender));
-	EXPECT_FALSE(rate_limit_ask(&limit, sender));
-	EXPECT_FALSE(rate_limit_may_ask(&limit, now_us));
-	rate_limit_answered(&limit, sender + 1, 1, 0, now_us);
+	rate_limit_begin_borrowing(&limit, 0, now_us);
+	EXPECT_TRUE(rate_limit_mark_asked(&limit, holder));
+	EXPECT_FALSE(rate_limit_mark_asked(&limit, holder));
+	EXPECT_FALSE(rate_limit_may_borrow(&limit, now_us));
+	rate_limit_apply_loan(&limit, holder + 1, 1, 0, now_us);
 	EXPECT_FALSE(rate_limit_allows(&limit, now_us));
-	rate_limit_answered(&limit, sender, 1, 0, now_us);
+	rate_limit_apply_loan(&limit, holder, 1, 0, now_us);
 	rate_limit_take(&limit, now_us);
 	EXPECT_FALSE(rate_limit_allows(&limit, now_us));
 	rate_limit_give_back(&limit, now_us);
@@ -170,72 +178,72 @@
 	EXPECT_FALSE(rate_limit_allows(&limit, now_us + US_PER_S));
 }
 
-/* One sender without a token is passed over, a second one is waited for. */
-TEST(RateLimitTest, TwoSendersWithoutATokenEndTheQuestions)
+/* After one refusal another holder is asked, after two the node waits. */
+TEST(RateLimitTest, TwoRefusalsPauseBorrowing)
 {
 	struct rate_limit limit = {};
 	uint64_t now_us = 10 * US_PER_S;
 
-	rate_limit_heard(&limit, 2, now_us, now_us);
-	rate_limit_begin_asking(&limit, 0, now_us);
-	rate_limit_ask(&limit, 7);
-	rate_limit_answered(&limit, 7, 0, 200000, now_us);
-	EXPECT_TRUE(rate_limit_may_ask(&limit, now_us));
-	rate_limit_begin_asking(&limit, 0, now_us);
-	rate_limit_ask(&limit, 8);
-	rate_limit_answered(&limit, 8, 0, 200000, now_us);
-	EXPECT_FALSE(rate_limit_may_ask(&limit, now_us + 199999));
-	EXPECT_TRUE(rate_limit_may_ask(&limit, now_us + 200000));
+	rate_limit_apply_answer(&limit, 2, now_us, now_us);
+	rate_limit_begin_borrowing(&limit, 0, now_us);
+	rate_limit_mark_asked(&limit, 7);
+	rate_limit_apply_loan(&limit, 7, 0, 200000, now_us);
+	EXPECT_TRUE(rate_limit_may_borrow(&limit, now_us));
+	rate_limit_begin_borrowing(&limit, 0, now_us);
+	rate_limit_mark_asked(&limit, 8);
+	rate_limit_apply_loan(&limit, 8, 0, 200000, now_us);
+	EXPECT_FALSE(rate_limit_may_borrow(&limit, now_us + 199999));
+	EXPECT_TRUE(rate_limit_may_borrow(&limit, now_us + 200000));
 }
 
-/* Each change of a rate that flaps would be told to all nodes. */
-TEST(RateLimitTest, ARateThatFlapsIsTheLowerOne)
+/* Guards against broadcasting each change of a rate that flaps. */
+TEST(RateLimitTest, FlappingRateStaysAtTheLowerValue)
 {
 	struct rate_limit limit = {};
 	uint64_t now_us = 10 * US_PER_S;
-	int news = 0;
+	int changes = 0;
 
 	for (int i = 0; i < 1000; i++) {
 		now_us += 10000;
-		news += rate_limit_heard(&limit, i % 2 ? 9 : 2, now_us - 5000,
-					 now_us);
+		changes += rate_limit_apply_answer(&limit, i % 2 ? 9 : 2,
+						   now_us - 5000, now_us);
 		EXPECT_DOUBLE_EQ(2, limit.per_s);
 	}
-	EXPECT_EQ(1, news);
+	EXPECT_EQ(1, changes);
 	now_us += US_PER_S;
-	EXPECT_TRUE(rate_limit_heard(&limit, 9, now_us - 5000, now_us));
+	EXPECT_TRUE(rate_limit_apply_answer(&limit, 9, now_us - 5000, now_us));
 }
 
-/* The same where its answers go to different nodes. */
-TEST(RateLimitTest, ARateThatFlapsByOthersWordsChangesSeldom)
+/* The same with changes that come as updates of peers. */
+TEST(RateLimitTest, FlappingRateInPeerUpdatesChangesSeldom)
 {
 	struct rate_limit limit = {};
 	uint64_t now_us = 10 * US_PER_S;
-	int news = 0;
+	int changes = 0;
 
 	for (int i = 0; i < 1000; i++) {
 		now_us += 10000;
-		news += rate_limit_told(&limit, i % 2 ? 9 : 2, now_us - 5000,
-					now_us);
+		changes += rate_limit_apply_update(&limit, i % 2 ? 9 : 2,
+						   now_us - 5000, now_us);
 	}
-	EXPECT_LE(news, 70);
+	EXPECT_LE(changes, 70);
 }
 
-/* All that was held back from a server comes to it in one moment. */
-TEST(RateLimitTest, AServerThatNamesNoRateAnyMoreIsFilledGradually)
+/* Guards against all held-back requests reaching the server at once. */
+TEST(RateLimitTest, TrafficRampsUpAfterTheLimitIsLifted)
 {
 	struct rate_limit limit = {};
 	uint64_t now_us = 10 * US_PER_S;
 	int sent = 0;
 
-	rate_limit_heard(&limit, 2, now_us, now_us);
-	rate_limit_share(&limit, 2, now_us);
+	rate_limit_apply_answer(&limit, 2, now_us, now_us);
+	rate_limit_set_quota(&limit, 2, now_us);
 	now_us += 10 * US_PER_S;
-	rate_limit_heard(&limit, 0, now_us, now_us);
+	rate_limit_apply_answer(&limit, 0, now_us, now_us);
 	for (int i = 0; i < 50; i++) {
 		now_us += 10000;
-		rate_limit_share(&limit, rate_limit_in_force(&limit, now_us),
-				 now_us);
+		rate_limit_set_quota(
+			&limit, rate_limit_effective(&limit, now_us), now_us);
 		while (rate_limit_allows(&limit, now_us) && ++sent < 1000)
 			rate_limit_take(&limit, now_us);
 	}
@@ -245,8 +253,7 @@
 	EXPECT_FALSE(rate_limit_is_limited(&limit, now_us + 2 * US_PER_S));
 }
 
-/* All nodes of three regions beside one server of the first that names a rate.
- */
+/* Nodes of three regions, and one server in the first that reports a rate. */
 class RateFleet
 {
       public:
@@ -262,10 +269,10 @@
 			member_table_free(node.members);
 	}
 	/*
-	 * Demand of five times the rate, evenly over one region. A node without
-	 * a token asks a sender.
+	 * Demand is five times the rate, spread evenly over the nodes of one
+	 * region. A node without a token asks a holder.
 	 */
-	void play_for(double seconds)
+	void run_for(double seconds)
 	{
 		uint64_t end_us = now_us + (uint64_t)(seconds * 1e6);
 		std::exponential_distribution<double> gap(demand_per_s);
@@ -287,23 +294,24 @@
 		node.limit = {};
 		node.shared_us = 0;
 		node.began_us = now_us;
-		rate_limit_told(&node.limit, per_s, now_us, now_us);
+		rate_limit_apply_update(&node.limit, per_s, now_us, now_us);
 	}
 	void freeze(int i, double seconds)
 	{
 		all[i].frozen_until_us = now_us + (uint64_t)(seconds * 1e6);
 	}
-	void name(double rate)
+	void report_rate(double rate)
 	{
 		per_s = rate;
 		if (rate > 0)
 			demand_per_s = 5 * rate;
 		for (Node &node : all) {
-			rate_limit_heard(&node.limit, rate, now_us, now_us);
+			rate_limit_apply_answer(&node.limit, rate, now_us,
+						now_us);
 			node.shared_us = 0;
 		}
 	}
-	/* A node that the others learn of up to two seconds later. */
+	/* Adds a node that the others learn of up to two seconds later. */
 	void add_node()
 	{
 		int count = (int)all.size();
@@ -313,19 +321,19 @@
 			all[i].learns_us = now_us + random() % 2000000;
 		restart(count);
 	}
-	/* The most that came in any 4 s from then on. */
-	size_t most(uint64_t from_us) const
+	/* Largest number of requests in any 4 s after from_us. */
+	size_t max_in_window(uint64_t from_us) const
 	{
-		size_t most = 0;
+		size_t max = 0;
 		size_t first = 0;
 
 		for (size_t i = 0; i < sends.size(); i++) {
 			while (sends[i] - sends[first] >= 4 * US_PER_S)
 				first++;
 			if (sends[first] >= from_us)
-				most = std::max(most, i - first + 1);
+				max = std::max(max, i - first + 1);
 		}
-		return most;
+		return max;
 	}
 	size_t since(uint64_t from_us) const
 	{
@@ -334,13 +342,14 @@
 	}
 	double per_s;
 	double demand_per_s;
-	int region_at = 0; /* where the demand is; the server is in 0 */
-	bool is_cut = false; /* even nodes from odd ones */
+	int region_at = 0; /* region of the demand; the server is in 0 */
+	bool is_partitioned = false; /* even nodes are partitioned from odd ones
+				      */
 	uint64_t now_us = 100 * US_PER_S;
 	std::mt19937 random;
 
       private:
-	/* Nodes of the region where the demand is. */
+	/* Nodes of the region with the demand. */
 	size_t nodes_there() const
 	{
 		return (all.size() + 2 - (size_t)region_at) / 3;
@@ -350,54 +359,60 @@
 
 	struct Node;
 
-	struct Word {
+	struct Message {
 		int from;
 		int to;
 		uint32_t asked;
 		uint32_t lent;
 		uint64_t wait_us;
 	};
-	/* Between regions 55 ms more; nothing crosses a cut. */
-	void say(const Word &word)
+	/*
+	 * Delivery takes 55 ms more between regions, and fails across a
+	 * partition.
+	 */
+	void post(const Message &message)
 	{
-		uint64_t way_us = 1000 + random() % 3000;
+		uint64_t delay_us = 1000 + random() % 3000;
 
-		if (is_cut && word.from % 2 != word.to % 2)
+		if (is_partitioned && message.from % 2 != message.to % 2)
 			return;
-		if (word.from % 3 != word.to % 3)
-			way_us += LINK_US / 2;
-		words.emplace(now_us + way_us, word);
+		if (message.from % 3 != message.to % 3)
+			delay_us += LINK_US / 2;
+		messages.emplace(now_us + delay_us, message);
 	}
 	void deliver_until(uint64_t until_us)
 	{
-		while (!words.empty() && words.begin()->first <= until_us) {
-			Word word = words.begin()->second;
-
-			now_us = words.begin()->first;
-			words.erase(words.begin());
-			if (now_us >= all[word.to].frozen_until_us)
-				hear(word);
+		while (!messages.empty() &&
+		       messages.begin()->first <= until_us) {
+			Message message = messages.begin()->second;
+
+			now_us = messages.begin()->first;
+			messages.erase(messages.begin());
+			if (now_us >= all[message.to].frozen_until_us)
+				receive(message);
 		}
 	}
-	void hear(const Word &word)
+	void receive(const Message &message)
 	{
-		Node &node = all[word.to];
+		Node &node = all[message.to];
 
 		share(node);
-		if (word.asked) {
-			Word answer = { word.to, word.from, 0, 0, 0 };
+		if (message.asked) {
+			Message answer = { message.to, message.from, 0, 0, 0 };
 
-			answer.lent = rate_limit_lend(&node.limit, word.asked,
-						      now_us, &answer.wait_us);
-			say(answer);
+			answer.lent = rate_limit_lend(&node.limit,
+						      message.asked, now_us,
+						      &answer.wait_us);
+			post(answer);
 			return;
 		}
-		rate_limit_answered(&node.limit, hash_of(word.from), word.lent,
-				    word.wait_us, now_us);
-		if (now_us - node.waits_since_us < HOLD_US + way_us(word.to) &&
-		    !send(node) && !way_us(word.to) &&
-		    rate_limit_may_ask(&node.limit, now_us))
-			ask(word.to);
+		rate_limit_apply_loan(&node.limit, hash_of(message.from),
+				      message.lent, message.wait_us, now_us);
+		if (now_us - node.waits_since_us <
+			    HOLD_US + round_trip_us(message.to) &&
+		    !send(node) && !round_trip_us(message.to) &&
+		    rate_limit_may_borrow(&node.limit, now_us))
+			ask(message.to);
 	}
 	bool send(Node &node)
 	{
@@ -416,8 +431,8 @@
 		share(node);
 		if (send(node))
 			return;
-		if (!rate_limit_may_ask(&node.limit, now_us)) {
-			rate_limit_miss(&node.limit);
+		if (!rate_limit_may_borrow(&node.limit, now_us)) {
+			rate_limit_count_miss(&node.limit);
 			return;
 		}
 		node.waits_since_us = now_us;
@@ -426,22 +441,24 @@
 	void ask(int i)
 	{
 		Node &node = all[i];
-		uint32_t tokens =
-			rate_limit_begin_asking(&node.limit, way_us(i), now_us);
-		uint32_t senders = way_us(i) ? std::min(tokens, 3u) : 1;
+		uint32_t tokens = rate_limit_begin_borrowing(
+			&node.limit, round_trip_us(i), now_us);
+		uint32_t holders = round_trip_us(i) ? std::min(tokens, 3u) : 1;
 
-		for (uint32_t k = 0; k < senders; k++) {
-			const struct member *sender = rate_limit_sender(
+		for (uint32_t k = 0; k < holders; k++) {
+			const struct member *holder = rate_limit_pick_holder(
 				&node.limit, node.members, "r0",
 				hash_text("i-1"),
 				(double)(random() % 1000) / 1000, now_us);
 
-			if (sender && rate_limit_ask(&node.limit, sender->hash))
-				say({ i, atoi(sender->name + 1),
-				      (tokens + senders - 1) / senders, 0, 0 });
+			if (holder &&
+			    rate_limit_mark_asked(&node.limit, holder->hash))
+				post({ i, atoi(holder->name + 1),
+				       (tokens + holders - 1) / holders, 0,
+				       0 });
 		}
 	}
-	static uint64_t way_us(int i)
+	static uint64_t round_trip_us(int i)
 	{
 		return i % 3 ? LINK_US : 0;
 	}
@@ -487,8 +504,8 @@
 			put(node.members, other);
 		all.push_back(node);
 	}
-	/* Who lives is heard of all the time, but across a cut. */
-	void keep_heard(Node &node)
+	/* Members send heartbeats all the time, except across the partition. */
+	void receive_heartbeats(Node &node)
 	{
 		GHashTableIter iter;
 		gpointer value;
@@ -497,10 +514,10 @@
 		while (g_hash_table_iter_next(&iter, NULL, &value)) {
 			struct member *member = (struct member *)value;
 
-			if (!is_cut || (atoi(member->name + 1) -
-					atoi(node.members->self->name + 1)) %
-						       2 ==
-					       0)
+			if (!is_partitioned || (atoi(member->name + 1) -
+						atoi(node.members->self->name +
+						     1)) % 2 ==
+						       0)
 				member->heartbeat_us = now_us;
 		}
 	}
@@ -512,20 +529,20 @@
 			put(node.members, (int)all.size() - 1);
 			node.learns_us = 0;
 		}
-		/* As a node does, some times a second. */
+		/* As a node does, a few times a second. */
 		if (now_us - node.shared_us < 200000)
 			return;
 		node.shared_us = now_us;
-		keep_heard(node);
-		double rate = rate_limit_in_force(&node.limit, now_us);
+		receive_heartbeats(node);
+		double rate = rate_limit_effective(&node.limit, now_us);
 		double part = waits ? 0 :
-				      rate_limit_part(node.members, "r0",
-						      hash_text("i-1"), rate);
-		rate_limit_share(&node.limit, part, now_us);
+				      rate_limit_quota(node.members, "r0",
+						       hash_text("i-1"), rate);
+		rate_limit_set_quota(&node.limit, part, now_us);
 	}
 	std::vector<Node> all;
 	std::vector<uint64_t> sends;
-	std::multimap<uint64_t, Word> words;
+	std::multimap<uint64_t, Message> messages;
 };
 
 struct fleet_case {
@@ -536,7 +553,7 @@
 class RateFleetTest : public ::testing::TestWithParam<fleet_case>
 {
       protected:
-	/* More by hand: LILACFIELD_SEEDS. */
+	/* More seeds by LILACFIELD_SEEDS. */
 	static int seeds()
 	{
 		const char *count = g_getenv("LILACFIELD_SEEDS");
@@ -547,7 +564,7 @@
 	{
 		return 1.2 * 4 * per_s + 5;
 	}
-	/* A fleet beside a server that has just named the case's rate. */
+	/* A fleet with a server that has just reported the case's rate. */
 	void for_each_seed(const std::function<void(RateFleet &)> &play)
 	{
 		const fleet_case &c = GetParam();
@@ -555,110 +572,110 @@
 		for (int seed = 1; seed <= seeds(); seed++) {
 			SCOPED_TRACE(seed);
 			RateFleet fleet(c.nodes, c.per_s, seed);
-			fleet.name(c.per_s);
+			fleet.report_rate(c.per_s);
 			play(fleet);
 		}
 	}
 };
 
-/* All together send no more than the rate, and a burst, in any 4 s. */
+/* All nodes together send no more than the rate and a burst in any 4 s. */
 TEST_P(RateFleetTest, TheSumStaysWithinTheRate)
 {
 	for_each_seed([](RateFleet &fleet) {
-		fleet.play_for(10);
-		EXPECT_LE(fleet.most(0), bound(fleet.per_s));
+		fleet.run_for(10);
+		EXPECT_LE(fleet.max_in_window(0), bound(fleet.per_s));
 	});
 }
 
-/* Where there is demand the rate is used, though few nodes are senders. */
+/* The demand uses up the rate, although few nodes are quota holders. */
 TEST_P(RateFleetTest, TheRateIsUsed)
 {
 	if (GetParam().per_s < 2)
 		GTEST_SKIP() << "a burst is as much as the rate";
 	for_each_seed([](RateFleet &fleet) {
-		fleet.play_for(2);
+		fleet.run_for(2);
 		uint64_t from_us = fleet.now_us;
-		fleet.play_for(10);
+		fleet.run_for(10);
 		EXPECT_GE(fleet.since(from_us), 0.85 * 10 * fleet.per_s);
 	});
 }
 
-/* One, a third and all restarted, others frozen, one added meanwhile. */
-TEST_P(RateFleetTest, TheSumHoldsWhateverNodesDo)
+/* One node, then a third, then all restart; others freeze; one is added. */
+TEST_P(RateFleetTest, TheSumHoldsThroughRestartsAndFreezes)
 {
 	const int nodes = GetParam().nodes;
 
 	for_each_seed([nodes](RateFleet &fleet) {
-		fleet.play_for(3);
+		fleet.run_for(3);
 		fleet.restart(0);
 		fleet.add_node();
 		for (int i = 1; i < nodes; i += 4)
 			fleet.freeze(i, 2.5);
-		fleet.play_for(4);
+		fleet.run_for(4);
 		for (int i = 0; i < nodes; i += 3)
 			fleet.restart(i);
-		fleet.play_for(6);
+		fleet.run_for(6);
 		for (int i = 0; i < nodes; i++)
 			fleet.restart(i);
-		fleet.play_for(7);
-		EXPECT_LE(fleet.most(0), bound(fleet.per_s));
+		fleet.run_for(7);
+		EXPECT_LE(fleet.max_in_window(0), bound(fleet.per_s));
 	});
 }
 
-/* Halved, the bound of the lower rate holds a second later. */
-TEST_P(RateFleetTest, ALowerRateHoldsASecondLater)
+/* After the rate is halved, the lower bound holds from a second later. */
+TEST_P(RateFleetTest, LowerRateHoldsAfterOneSecond)
 {
 	for_each_seed([](RateFleet &fleet) {
-		fleet.play_for(6);
-		fleet.name(fleet.per_s / 2);
+		fleet.run_for(6);
+		fleet.report_rate(fleet.per_s / 2);
 		uint64_t from_us = fleet.now_us + US_PER_S;
-		fleet.play_for(8);
-		EXPECT_LE(fleet.most(from_us), bound(fleet.per_s));
+		fleet.run_for(8);
+		EXPECT_LE(fleet.max_in_window(from_us), bound(fleet.per_s));
 	});
 }
 
-/* Demand moves to another region within a second, and the rate with it. */
+/* Demand moves to another region, and within seconds the rate follows. */
 TEST_P(RateFleetTest, TheRateFollowsDemandToAnotherRegion)
 {
 	for_each_seed([](RateFleet &fleet) {
-		fleet.play_for(6);
+		fleet.run_for(6);
 		fleet.region_at = 1;
-		fleet.play_for(3);
+		fleet.run_for(3);
 		uint64_t from_us = fleet.now_us;
-		fleet.play_for(10);
-		EXPECT_LE(fleet.most(0), bound(fleet.per_s));
+		fleet.run_for(10);
+		EXPECT_LE(fleet.max_in_window(0), bound(fleet.per_s));
 		if (fleet.per_s < 2)
 			return;
 		EXPECT_GE(fleet.since(from_us), 0.85 * 10 * fleet.per_s);
 	});
 }
 
-/* Two halves that can't hear each other, for longer than a beat's silence. */
-TEST_P(RateFleetTest, TheSumHoldsThroughACut)
+/* Two halves without contact, for longer than the heartbeat timeout. */
+TEST_P(RateFleetTest, TheSumHoldsDuringAPartition)
 {
 	for_each_seed([](RateFleet &fleet) {
-		fleet.play_for(5);
-		fleet.is_cut = true;
-		fleet.play_for(8);
-		fleet.is_cut = false;
-		fleet.play_for(5);
-		EXPECT_LE(fleet.most(0), bound(fleet.per_s));
+		fleet.run_for(5);
+		fleet.is_partitioned = true;
+		fleet.run_for(8);
+		fleet.is_partitioned = false;
+		fleet.run_for(5);
+		EXPECT_LE(fleet.max_in_window(0), bound(fleet.per_s));
 	});
 }
 
-/* Gone, it is filled within seconds and not in one moment. */
-TEST_P(RateFleetTest, ARateThatIsGoneIsLeftByDegrees)
+/* After the limit is lifted, traffic rises within seconds, not at once. */
+TEST_P(RateFleetTest, TrafficRampsUpAfterTheRateIsLifted)
 {
 	for_each_seed([](RateFleet &fleet) {
-		fleet.play_for(6);
+		fleet.run_for(6);
 		double rate = fleet.per_s;
-		fleet.name(0);
+		fleet.report_rate(0);
 		uint64_t gone_us = fleet.now_us;
-		fleet.play_for(0.5);
+		fleet.run_for(0.5);
 		EXPECT_LE(fleet.since(gone_us), 2 * rate + 5);
-		fleet.play_for(2.5);
+		fleet.run_for(2.5);
 		uint64_t from_us = fleet.now_us;
-		fleet.play_for(4);
+		fleet.run_for(4);
 		EXPECT_GE(fleet.since(from_us),
 			  0.85 * 4 * fleet.demand_per_s -
 				  3 * std::sqrt(4 * fleet.demand_per_s));
--- a/tests/core/suspect_fleet_test.cc
+++ b/tests/core/suspect_fleet_test.cc
@@ -1,21 +1,21 @@
 /*
- * A request that crashes whatever server runs it, brought to any node of a
- * fleet: it is contained, and nobody else pays.
+ * Requests that crash every server that runs them, sent to random nodes of a
+ * fleet: the number of crashes is bounded, and no other request suffers.
  */
 #include "core/suspect_fleet.h"
 
 namespace
 {
 
-/* More by hand, and others: LILACFIELD_SEEDS, LILACFIELD_FIRST_SEED. */
+/* More or other seeds by LILACFIELD_SEEDS and LILACFIELD_FIRST_SEED. */
 const unsigned SEEDS = 10;
 const uint64_t PLAY_US = 12 * US_PER_S;
 
 /*
- * name; nodes, servers; deadly requests, how often each comes a second,
- * bunched; harmless ones a second and server; crashes a second without cause;
- * losses of power; all nodes killed; a region cut off; crashes and late runs at
- * most
+ * name; nodes, servers; deadly requests, times per second of each, at random
+ * times; harmless requests per second and server; crashes per second without a
+ * cause; power failures; all nodes killed; a region partitioned; maximum of
+ * crashes and of late runs
  */
 const fleet_case cases[] = {
 	{ "Eight", 8, 12, 1, 5, false, 6, 0, false, false, false, 4, 0 },
@@ -54,8 +54,8 @@
 void expect_bounds(Fleet &fleet, const fleet_case &c)
 {
 	for (const Fleet::Stats &stat : fleet.stats) {
-		EXPECT_GE(c.most_crashes, stat.crashes);
-		EXPECT_GE(c.most_late, stat.late);
+		EXPECT_GE(c.max_crashes, stat.crashes);
+		EXPECT_GE(c.max_late_runs, stat.late);
 	}
 	EXPECT_EQ(0u, fleet.quarantined_falsely());
 }
@@ -64,7 +64,7 @@
 {
 };
 
-/* Guards against a request's crashes adding up node by node. */
+/* Guards against nodes that each allow a request its own crashes. */
 TEST_P(FleetTest, CrashesAreBoundedAndNobodyElsePays)
 {
 	const fleet_case &c = GetParam();
@@ -77,12 +77,12 @@
 	for (unsigned seed = first; seed < first + seeds; seed++) {
 		Fleet fleet(c, seed);
 
-		fleet.play(Fleet::START_US + PLAY_US);
+		fleet.run_until(Fleet::START_US + PLAY_US);
 		SCOPED_TRACE("seed " + std::to_string(seed) + "\n" +
 			     fleet.wrong_history());
 		expect_bounds(fleet, c);
 		shared += fleet.shared;
-		served += fleet.shared_served;
+		served += fleet.shared_answered;
 		after_us.insert(after_us.end(), fleet.served_after_us.begin(),
 				fleet.served_after_us.end());
 	}
@@ -98,7 +98,7 @@
 INSTANTIATE_TEST_SUITE_P(Cases, FleetTest, ::testing::ValuesIn(cases),
 			 [](const auto &info) { return info.param.name; });
 
-/* Seeds that went past the bounds of their case. */
+/* Seeds that once exceeded the bounds of their case. */
 struct found_case {
 	const char *fleet;
 	unsigned seed;
@@ -126,7 +126,7 @@
 	while (c->name != GetParam().fleet)
 		c++;
 	Fleet fleet(*c, GetParam().seed);
-	fleet.play(Fleet::START_US + PLAY_US);
+	fleet.run_until(Fleet::START_US + PLAY_US);
 	SCOPED_TRACE(fleet.wrong_history());
 	expect_bounds(fleet, *c);
 }
--- a/tests/edge/beat_test.cc
+++ b/tests/edge/beat_test.cc
@@ -98,8 +98,8 @@
 
 	beat.life_count = 1;
 	beat.suspect_count = BEAT_MAX_SUSPECTS;
-	for (struct suspect_word &word : beat.suspects)
-		word.crash_count = SUSPECT_CRASHES_KEPT;
+	for (struct suspect_update &word : beat.suspects)
+		word.crash_count = SUSPECT_MAX_CRASHES;
 	beat.rate_count = BEAT_MAX_RATES;
 	beat.rates[19] = { 7, 1.8, 2000000 };
 	beat.token_count = BEAT_MAX_TOKENS;
@@ -107,7 +107,7 @@
 	std::string bytes = encode(beat);
 	ASSERT_LE(bytes.size(), (size_t)BEAT_MAX_BYTES);
 	ASSERT_TRUE(beat_decode(bytes.data(), bytes.size(), &got));
-	EXPECT_EQ(7u, got.rates[19].life);
+	EXPECT_EQ(7u, got.rates[19].incarnation);
 	EXPECT_DOUBLE_EQ(1.8, got.rates[19].per_s);
 	EXPECT_EQ(2000000u, got.rates[19].age_us);
 	EXPECT_EQ(9u, got.tokens[7].life);
