--- a/packages/core/member_table.c
+++ b/packages/core/member_table.c
@@ -71,9 +71,9 @@
 bool member_heard(struct member *member, uint64_t beat, bool leaving,
 		  uint64_t now_us)
 {
-	if (beat <= member->beat)
+	if (beat <= member->heartbeat)
 		return false;
-	member->beat = beat;
+	member->heartbeat = beat;
 	member->leaving = leaving;
 	member->heard_us = now_us;
 	return true;
--- a/packages/core/member_table.h
+++ b/packages/core/member_table.h
@@ -33,7 +33,7 @@
 	struct endpoint front; /* for callers */
 	struct endpoint peer; /* for beats */
 	uint32_t link_mbps; /* of its VM; 0: not said */
-	uint64_t beat; /* highest number heard */
+	uint64_t heartbeat; /* highest number heard */
 	uint64_t heard_us; /* when it rose; 0: never */
 	uint64_t known_us; /* when its row was first read */
 	bool leaving;
--- a/packages/edge/admin_suspects.c
+++ b/packages/edge/admin_suspects.c
@@ -112,7 +112,7 @@
 	log_event(LOG_WARNING, releases ? "released" : "quarantined",
 		  "fingerprint=%016" PRIx64 " by_hand=yes", query->fingerprint);
 	if (edge->gossip)
-		gossip_tell_words(edge->gossip);
+		gossip_schedule_broadcast(edge->gossip);
 	if (edge->quarantines)
 		quarantine_store_keep(edge->quarantines, query->fingerprint);
 	return done(query);
--- a/packages/edge/backend_row.c
+++ b/packages/edge/backend_row.c
@@ -16,7 +16,7 @@
 }
 
 void backend_row_fill(const struct backend *backend, uint64_t now_us,
-		      struct beat_row *row)
+		      struct heartbeat_row *row)
 {
 	g_strlcpy(row->id, backend->id, sizeof(row->id));
 	g_strlcpy(row->service, backend->service, sizeof(row->service));
@@ -29,7 +29,7 @@
 	row->cold_left_ms = cold_left_ms(backend, now_us);
 }
 
-void backend_row_take(struct edge *edge, const struct beat_row *row)
+void backend_row_take(struct edge *edge, const struct heartbeat_row *row)
 {
 	const struct backend_facts facts = {
 		.id = row->id,
--- a/packages/edge/crash_watch.c
+++ b/packages/edge/crash_watch.c
@@ -195,7 +195,7 @@
 	suspect = suspect_table_find(edge->suspects, one->fingerprint);
 	log_crash(suspect, one);
 	if (edge->gossip)
-		gossip_tell_words(edge->gossip);
+		gossip_schedule_broadcast(edge->gossip);
 	if (suspect->rounds && edge->quarantines)
 		quarantine_store_keep(edge->quarantines, one->fingerprint);
 }
--- a/packages/edge/exchange_suspect.c
+++ b/packages/edge/exchange_suspect.c
@@ -46,7 +46,7 @@
 static void tell_others(struct exchange *exchange)
 {
 	if (exchange->edge->gossip)
-		gossip_tell_words(exchange->edge->gossip);
+		gossip_schedule_broadcast(exchange->edge->gossip);
 }
 
 /* Place of this node among those that may have the request. */
--- a/packages/edge/gossip.c
+++ b/packages/edge/gossip.c
@@ -1,5 +1,5 @@
 #include "edge/backend_row.h"
-#include "edge/gossip_parts.h"
+#include "edge/gossip_internal.h"
 
 #include <string.h>
 
@@ -19,7 +19,7 @@
  * meantime wait in the socket. Three ticks, since reading a large document may
  * take one; where it takes longer, the reader's next beat comes soon enough.
  */
-#define STOOD_US (3 * TICK_US)
+#define MAX_TURN_US (3 * TICK_US)
 
 /* --- hearing ------------------------------------------------------------ */
 
@@ -27,7 +27,8 @@
  * Of other regions a node hears now and then, so that their members seem to
  * come and go: not worth a line each.
  */
-static void note_state(const struct edge *edge, const struct member *member)
+static void log_member_state(const struct edge *edge,
+			     const struct member *member)
 {
 	if (strcmp(member->region, edge->settings.region) != 0)
 		return;
@@ -35,26 +36,27 @@
 		  member->leaving ? "no" : "yes");
 }
 
-static void take_lives(struct gossip *gossip, const struct beat *beat)
+static void apply_members(struct gossip *gossip,
+			  const struct heartbeat *heartbeat)
 {
 	struct edge *edge = gossip->edge;
 	uint64_t now_us = edge_now_us(edge);
 	uint32_t i;
 
-	for (i = 0; i < beat->life_count; i++) {
-		const struct beat_life *life = &beat->lives[i];
+	for (i = 0; i < heartbeat->member_count; i++) {
+		const struct heartbeat_member *life = &heartbeat->members[i];
 		struct member *member =
 			member_table_find_hash(edge->members, life->member);
 		bool served;
 
 		if (!member)
-			gossip->unknown = true;
+			gossip->unknown_member = true;
 		if (!member || member == edge->members->self)
 			continue;
 		served = member_serves(edge->members, member, now_us);
 		if (member_heard(member, life->number, life->leaving, now_us) &&
 		    served == life->leaving)
-			note_state(edge, member);
+			log_member_state(edge, member);
 	}
 }
 
@@ -64,19 +66,19 @@
  * pass news on: with 100 neighbours that filled its link of 10 Mbit/s, and what
  * it says of the tables was lost.
  */
-static enum warm_source source_of(const struct edge *edge,
-				  const struct beat *beat)
+static enum warm_source update_source(const struct edge *edge,
+				      const struct heartbeat *heartbeat)
 {
-	const struct member *sender =
-		member_table_find_hash(edge->members, beat->lives[0].member);
+	const struct member *sender = member_table_find_hash(
+		edge->members, heartbeat->members[0].member);
 
 	if (sender && strcmp(sender->region, edge->settings.region) != 0)
 		return WARM_PASSED_ON;
 	return WARM_TOLD;
 }
 
-static void take_pair(struct warmth *warmth, const struct beat_pair *pair,
-		      enum warm_source source, uint64_t now_us)
+static void apply_pair(struct warmth *warmth, const struct heartbeat_pair *pair,
+		       enum warm_source source, uint64_t now_us)
 {
 	if (pair->ready_ms)
 		warmth_begin(warmth, pair->pair, source,
@@ -85,33 +87,34 @@
 		warmth_note(warmth, pair->pair, source, now_us);
 }
 
-static void take_news(struct edge *edge, const struct beat *beat)
+static void apply_pairs_and_loads(struct edge *edge,
+				  const struct heartbeat *heartbeat)
 {
-	enum warm_source source = source_of(edge, beat);
+	enum warm_source source = update_source(edge, heartbeat);
 	uint64_t now_us = edge_now_us(edge);
-	uint32_t sender = beat->lives[0].member;
+	uint32_t sender = heartbeat->members[0].member;
 	uint32_t i;
 
-	for (i = 0; i < beat->pair_count; i++)
-		take_pair(&edge->warmth, &beat->pairs[i], source, now_us);
-	if (beat->load_count)
+	for (i = 0; i < heartbeat->pair_count; i++)
+		apply_pair(&edge->warmth, &heartbeat->pairs[i], source, now_us);
+	if (heartbeat->load_count)
 		backend_table_forget_words(edge->backends, sender);
-	for (i = 0; i < beat->load_count; i++) {
+	for (i = 0; i < heartbeat->load_count; i++) {
 		struct backend *backend = backend_table_find_life(
-			edge->backends, beat->loads[i].backend);
+			edge->backends, heartbeat->loads[i].incarnation);
 
 		if (backend)
-			backend_told(backend, sender, beat->loads[i].in_flight,
-				     now_us);
+			backend_told(backend, sender,
+				     heartbeat->loads[i].in_flight, now_us);
 	}
 }
 
-static void take_rows(struct edge *edge, const struct beat *beat)
+static void apply_rows(struct edge *edge, const struct heartbeat *heartbeat)
 {
 	uint32_t i;
 
-	for (i = 0; i < beat->row_count; i++) {
-		const struct beat_row *row = &beat->rows[i];
+	for (i = 0; i < heartbeat->row_count; i++) {
+		const struct heartbeat_row *row = &heartbeat->rows[i];
 
 		log_event(LOG_INFO, "backend-told",
 			  "backend=%s left=%s draining=%s cold_left_ms=%u",
@@ -122,7 +125,8 @@
 }
 
 /* Only the neighbour that this node takes for the reader can vouch. */
-static void take_vouches(struct gossip *gossip, const struct beat *beat)
+static void apply_digests(struct gossip *gossip,
+			  const struct heartbeat *heartbeat)
 {
 	struct edge *edge = gossip->edge;
 	const struct member *reader =
@@ -130,15 +134,16 @@
 	uint32_t i;
 
 	if (reader == edge->members->self ||
-	    reader->hash != beat->lives[0].member)
+	    reader->hash != heartbeat->members[0].member)
 		return;
-	take_rows(edge, beat);
-	for (i = 0; gossip->sync && i < beat->vouch_count; i++)
-		sync_vouched(gossip->sync, &beat->vouches[i]);
+	apply_rows(edge, heartbeat);
+	for (i = 0; gossip->sync && i < heartbeat->digest_count; i++)
+		sync_vouched(gossip->sync, &heartbeat->digests[i]);
 }
 
 /* Peers use one port everywhere; the sender's own is another for its sends. */
-static void ask_neighbour(struct gossip *gossip, const struct sockaddr *from)
+static void report_peer_address(struct gossip *gossip,
+				const struct sockaddr *from)
 {
 	struct endpoint neighbour = { .port = gossip->edge->settings.peer.port };
 
@@ -148,46 +153,47 @@
 }
 
 /* Whether the loop stood still since it was here last. */
-static void note_turn(struct gossip *gossip)
+static void detect_stall(struct gossip *gossip)
 {
 	uint64_t now_us = edge_now_us(gossip->edge);
 
-	if (now_us - gossip->turned_us > STOOD_US)
-		gossip->behind = true;
-	gossip->turned_us = now_us;
+	if (now_us - gossip->last_turn_us > MAX_TURN_US)
+		gossip->socket_stale = true;
+	gossip->last_turn_us = now_us;
 }
 
 static void on_datagram(uv_udp_t *udp, ssize_t length, const uv_buf_t *buffer,
 			const struct sockaddr *from, unsigned flags)
 {
 	struct gossip *gossip = udp->data;
-	struct beat beat;
+	struct heartbeat heartbeat;
 
-	note_turn(gossip);
+	detect_stall(gossip);
 	/* Without a sender: the socket is empty. */
 	if (!from)
-		gossip->behind = false;
+		gossip->socket_stale = false;
 	if (length <= 0 || !from || (flags & UV_UDP_PARTIAL))
 		return;
-	if (!beat_decode(buffer->base, (size_t)length, &beat))
+	if (!heartbeat_decode(buffer->base, (size_t)length, &heartbeat))
 		return;
 	if (gossip->sync && !edge_is_ready(gossip->edge))
-		ask_neighbour(gossip, from);
-	take_lives(gossip, &beat);
-	take_news(gossip->edge, &beat);
-	gossip_take_words(gossip, &beat);
+		report_peer_address(gossip, from);
+	apply_members(gossip, &heartbeat);
+	apply_pairs_and_loads(gossip->edge, &heartbeat);
+	gossip_apply_updates(gossip, &heartbeat);
 	/*
 	 * The ages of vouches count from their receipt. From before the node
 	 * was suspended, they confirmed routes that had been replaced since,
 	 * and those that were added were denied.
 	 */
-	if (!gossip->behind)
-		take_vouches(gossip, &beat);
+	if (!gossip->socket_stale)
+		apply_digests(gossip, &heartbeat);
 }
 
-static void lend_buffer(uv_handle_t *handle, size_t suggested, uv_buf_t *buffer)
+static void provide_buffer(uv_handle_t *handle, size_t suggested,
+			   uv_buf_t *buffer)
 {
-	static char bytes[2 * BEAT_MAX_BYTES];
+	static char bytes[2 * HEARTBEAT_MAX_BYTES];
 
 	(void)handle;
 	(void)suggested;
@@ -196,41 +202,41 @@
 
 /* --- beating ------------------------------------------------------------ */
 
-static void beat(struct gossip *gossip)
+static void heartbeat(struct gossip *gossip)
 {
 	struct edge *edge = gossip->edge;
 	struct member *self = edge->members->self;
 
 	/* Told after the digests, each change would make neighbours call. */
-	gossip_tell_changes(gossip);
-	self->beat = gossip->epoch_us + edge_now_us(edge);
+	gossip_send_changes(gossip);
+	self->heartbeat = gossip->epoch_us + edge_now_us(edge);
 	self->leaving = !edge_is_ready(edge);
-	gossip_beat_near(gossip);
-	gossip_beat_words(gossip);
-	if (gossip->rounds++ % GOSSIP_FAR_EVERY == 0 ||
+	gossip_send_near_heartbeat(gossip);
+	gossip_send_updates(gossip);
+	if (gossip->rounds++ % GOSSIP_ROUNDS_PER_FAR_HEARTBEAT == 0 ||
 	    edge->warmth.far_news->len)
-		gossip_beat_far(gossip);
+		gossip_send_far_heartbeat(gossip);
 }
 
 bool gossip_is_due(const struct gossip *gossip)
 {
 	const struct warmth *warmth = &gossip->edge->warmth;
 
-	return gossip->ticks % GOSSIP_TICKS_A_BEAT == 0 || warmth->news->len ||
-	       warmth->far_news->len;
+	return gossip->ticks % GOSSIP_TICKS_PER_HEARTBEAT == 0 ||
+	       warmth->news->len || warmth->far_news->len;
 }
 
 static void on_timer(uv_timer_t *timer)
 {
 	struct gossip *gossip = timer->data;
 
-	note_turn(gossip);
+	detect_stall(gossip);
 	if (gossip_is_due(gossip))
-		beat(gossip);
+		heartbeat(gossip);
 	gossip->ticks++;
-	if (gossip->unknown && gossip->sync && gossip_reads_for_others(gossip))
+	if (gossip->unknown_member && gossip->sync && gossip_is_reader(gossip))
 		sync_read_members(gossip->sync);
-	gossip->unknown = false;
+	gossip->unknown_member = false;
 }
 
 struct gossip *gossip_open(struct edge *edge, GError **error)
@@ -241,7 +247,7 @@
 	int status;
 
 	gossip->edge = edge;
-	gossip->turned_us = edge_now_us(edge);
+	gossip->last_turn_us = edge_now_us(edge);
 	/* A restarted node must be heard although its clock began anew. */
 	gossip->epoch_us = (uint64_t)g_get_real_time() - edge_now_us(edge);
 	uv_ip4_addr(at->address, at->port, &address);
@@ -249,11 +255,11 @@
 	uv_timer_init(edge->loop, &gossip->timer);
 	gossip->udp.data = gossip;
 	gossip->timer.data = gossip;
-	gossip_words_open(gossip);
+	gossip_updates_open(gossip);
 	status =
 		uv_udp_bind(&gossip->udp, (const struct sockaddr *)&address, 0);
 	if (!status)
-		status = uv_udp_recv_start(&gossip->udp, lend_buffer,
+		status = uv_udp_recv_start(&gossip->udp, provide_buffer,
 					   on_datagram);
 	if (status) {
 		g_set_error(error, RESULT_ERROR, RESULT_SYSTEM,
@@ -271,16 +277,16 @@
 {
 	uv_close((uv_handle_t *)&gossip->udp, NULL);
 	uv_close((uv_handle_t *)&gossip->timer, NULL);
-	gossip_words_close(gossip);
+	gossip_updates_close(gossip);
 }
 
-void gossip_attach(struct gossip *gossip, struct sync *sync)
+void gossip_set_sync(struct gossip *gossip, struct sync *sync)
 {
 	gossip->sync = sync;
 }
 
-void gossip_hurry(struct gossip *gossip)
+void gossip_send_heartbeat_now(struct gossip *gossip)
 {
 	gossip->rounds = 0;
-	beat(gossip);
+	heartbeat(gossip);
 }
--- a/packages/edge/gossip_send.c
+++ b/packages/edge/gossip_send.c
@@ -1,5 +1,5 @@
 #include "edge/backend_row.h"
-#include "edge/gossip_parts.h"
+#include "edge/gossip_internal.h"
 
 #include <string.h>
 
@@ -9,14 +9,14 @@
  * Where there are more members than the first, each round's beat goes to the
  * region's reader and draws some of the region, and what is heard is passed on.
  */
-#define ALL_MOST 12
-#define NEAR_DRAWN 12
+#define MAX_FULL_MESH 12
+#define NEAR_PEERS 12
 
 /* Members of each other region that a beat goes to; one of them may be dead. */
-#define FAR_DRAWN 3
+#define FAR_PEERS 3
 
 /* Lives passed on beside one's own, where they aren't many. */
-#define FEW_LIVES 2
+#define FEW_RELAYED 2
 
 /*
  * Datagrams of changes at one time, of up to 1.4 KB, for each Mbit/s of the
@@ -30,16 +30,18 @@
 	GBytes *bytes;
 };
 
-static void add_life(struct beat *beat, const struct member *member)
+static void add_member(struct heartbeat *heartbeat, const struct member *member)
 {
-	struct beat_life *life = &beat->lives[beat->life_count++];
+	struct heartbeat_member *life =
+		&heartbeat->members[heartbeat->member_count++];
 
 	life->member = member->hash;
-	life->number = member->beat;
+	life->number = member->heartbeat;
 	life->leaving = member->leaving;
 }
 
-static void add_lives(struct gossip *gossip, struct beat *beat, uint32_t most)
+static void add_members(struct gossip *gossip, struct heartbeat *heartbeat,
+			uint32_t max_members)
 {
 	struct member_table *members = gossip->edge->members;
 	uint32_t count = member_table_count(members);
@@ -47,34 +49,37 @@
 	gpointer value;
 	uint32_t i = 0;
 
-	add_life(beat, members->self);
+	add_member(heartbeat, members->self);
 	g_hash_table_iter_init(&iter, members->by_name);
-	while (beat->life_count <= most && beat->life_count < BEAT_MAX_LIVES &&
+	while (heartbeat->member_count <= max_members &&
+	       heartbeat->member_count < HEARTBEAT_MAX_MEMBERS &&
 	       g_hash_table_iter_next(&iter, NULL, &value)) {
 		if (value != members->self &&
 		    member_serves(members, value, edge_now_us(gossip->edge)) &&
-		    (count <= most || i++ >= gossip->relay_at % count))
-			add_life(beat, value);
+		    (count <= max_members ||
+		     i++ >= gossip->relay_offset % count))
+			add_member(heartbeat, value);
 	}
-	gossip->relay_at += most;
+	gossip->relay_offset += max_members;
 }
 
-static void add_loads(const struct edge *edge, struct beat *beat)
+static void add_loads(const struct edge *edge, struct heartbeat *heartbeat)
 {
 	GHashTableIter iter;
 	gpointer value;
 
 	g_hash_table_iter_init(&iter, edge->backends->by_id);
-	while (beat->load_count < BEAT_MAX_LOADS &&
+	while (heartbeat->load_count < HEARTBEAT_MAX_LOADS &&
 	       g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct backend *backend = value;
-		struct beat_load *load = &beat->loads[beat->load_count];
+		struct heartbeat_load *load =
+			&heartbeat->loads[heartbeat->load_count];
 
 		if (!backend->in_flight)
 			continue;
-		load->backend = backend->life;
+		load->incarnation = backend->life;
 		load->in_flight = backend->in_flight;
-		beat->load_count++;
+		heartbeat->load_count++;
 	}
 }
 
@@ -91,20 +96,23 @@
  * As many as fit move from the news into the beat. One whose first request must
  * have ended since isn't told: whether it is warm is news of its own.
  */
-static void move_news(GArray *news, struct beat *beat, uint64_t now_us)
+static void move_updates(GArray *news, struct heartbeat *heartbeat,
+			 uint64_t now_us)
 {
 	guint taken;
 
-	for (taken = 0; taken < news->len && beat->pair_count < BEAT_MAX_PAIRS;
+	for (taken = 0;
+	     taken < news->len && heartbeat->pair_count < HEARTBEAT_MAX_PAIRS;
 	     taken++) {
 		const struct warm_news *one =
 			&g_array_index(news, struct warm_news, taken);
-		struct beat_pair *pair = &beat->pairs[beat->pair_count];
+		struct heartbeat_pair *pair =
+			&heartbeat->pairs[heartbeat->pair_count];
 
 		pair->pair = one->pair;
 		pair->ready_ms = ready_ms(one, now_us);
 		if (!one->ready_us || pair->ready_ms)
-			beat->pair_count++;
+			heartbeat->pair_count++;
 	}
 	g_array_remove_range(news, 0, taken);
 }
@@ -141,7 +149,7 @@
 	return !strcmp(member->region, edge->settings.region);
 }
 
-bool gossip_reads_for_others(const struct gossip *gossip)
+bool gossip_is_reader(const struct gossip *gossip)
 {
 	const struct edge *edge = gossip->edge;
 
@@ -149,19 +157,19 @@
 }
 
 /* Whether this round's beat goes to the neighbour. */
-static bool is_drawn(const struct edge *edge, const struct member *member,
-		     const struct member *reader)
+static bool is_picked(const struct edge *edge, const struct member *member,
+		      const struct member *reader)
 {
 	uint32_t count = member_table_count(edge->members);
 
 	/* Whoever reads for its region is heard by all of it, and hears all. */
-	if (count <= ALL_MOST || reader == edge->members->self ||
+	if (count <= MAX_FULL_MESH || reader == edge->members->self ||
 	    member == reader)
 		return true;
-	return g_random_int_range(0, (gint32)count) < NEAR_DRAWN;
+	return g_random_int_range(0, (gint32)count) < NEAR_PEERS;
 }
 
-static GPtrArray *members_of(const struct gossip *gossip, bool near)
+static GPtrArray *find_peers(const struct gossip *gossip, bool near)
 {
 	const struct edge *edge = gossip->edge;
 	GPtrArray *list = g_ptr_array_new();
@@ -179,17 +187,17 @@
 	return list;
 }
 
-static void send_near(struct gossip *gossip, const struct beat *beat)
+static void send_near(struct gossip *gossip, const struct heartbeat *heartbeat)
 {
 	const struct edge *edge = gossip->edge;
 	const struct member *reader =
 		member_table_reader(edge->members, edge_now_us(edge));
-	GPtrArray *near = members_of(gossip, true);
-	GBytes *bytes = beat_encode(beat);
+	GPtrArray *near = find_peers(gossip, true);
+	GBytes *bytes = heartbeat_encode(heartbeat);
 	guint i;
 
 	for (i = 0; i < near->len; i++)
-		if (is_drawn(edge, near->pdata[i], reader))
+		if (is_picked(edge, near->pdata[i], reader))
 			send_to(gossip, near->pdata[i], bytes);
 	g_bytes_unref(bytes);
 	g_ptr_array_unref(near);
@@ -209,11 +217,11 @@
 }
 
 /* To a few members of each other region, which pass it on there. */
-static void send_far(struct gossip *gossip, const struct beat *beat)
+static void send_far(struct gossip *gossip, const struct heartbeat *heartbeat)
 {
 	GHashTable *sent = g_hash_table_new(g_str_hash, g_str_equal);
-	GPtrArray *far = members_of(gossip, false);
-	GBytes *bytes = beat_encode(beat);
+	GPtrArray *far = find_peers(gossip, false);
+	GBytes *bytes = heartbeat_encode(heartbeat);
 	guint i;
 
 	shuffle(far);
@@ -222,7 +230,7 @@
 		guint count = GPOINTER_TO_UINT(
 			g_hash_table_lookup(sent, member->region));
 
-		if (count >= FAR_DRAWN)
+		if (count >= FAR_PEERS)
 			continue;
 		g_hash_table_insert(sent, member->region,
 				    GUINT_TO_POINTER(count + 1));
@@ -233,24 +241,25 @@
 	g_ptr_array_unref(far);
 }
 
-void gossip_sign(struct gossip *gossip, struct beat *beat)
+void gossip_add_sender(struct gossip *gossip, struct heartbeat *heartbeat)
 {
-	add_life(beat, gossip->edge->members->self);
+	add_member(heartbeat, gossip->edge->members->self);
 }
 
 void gossip_send_to_one(struct gossip *gossip, const struct member *member,
-			const struct beat *beat)
+			const struct heartbeat *heartbeat)
 {
-	GBytes *bytes = beat_encode(beat);
+	GBytes *bytes = heartbeat_encode(heartbeat);
 
 	send_to(gossip, member, bytes);
 	g_bytes_unref(bytes);
 }
 
-void gossip_send_to_all(struct gossip *gossip, const struct beat *beat)
+void gossip_send_to_all(struct gossip *gossip,
+			const struct heartbeat *heartbeat)
 {
 	const struct member_table *members = gossip->edge->members;
-	GBytes *bytes = beat_encode(beat);
+	GBytes *bytes = heartbeat_encode(heartbeat);
 	GHashTableIter iter;
 	gpointer value;
 
@@ -264,17 +273,18 @@
 	g_bytes_unref(bytes);
 }
 
-void gossip_send_to_some(struct gossip *gossip, const struct beat *beat)
+void gossip_send_to_sample(struct gossip *gossip,
+			   const struct heartbeat *heartbeat)
 {
-	send_near(gossip, beat);
-	send_far(gossip, beat);
+	send_near(gossip, heartbeat);
+	send_far(gossip, heartbeat);
 }
 
 static void add_change(const struct edge *edge, const char *id,
-		       struct beat *beat)
+		       struct heartbeat *heartbeat)
 {
 	const struct backend *backend = backend_table_find(edge->backends, id);
-	struct beat_row *row = &beat->rows[beat->row_count++];
+	struct heartbeat_row *row = &heartbeat->rows[heartbeat->row_count++];
 
 	g_strlcpy(row->id, id, sizeof(row->id));
 	if (backend)
@@ -284,63 +294,66 @@
 			backend_table_removed_version(edge->backends, id);
 }
 
-static void tell_some(struct gossip *gossip, const GPtrArray *changes,
-		      guint from, guint count)
+static void send_change_batch(struct gossip *gossip, const GPtrArray *changes,
+			      guint from, guint count)
 {
-	struct beat beat = { .life_count = 0 };
+	struct heartbeat heartbeat = { .member_count = 0 };
 	guint i;
 
-	add_life(&beat, gossip->edge->members->self);
+	add_member(&heartbeat, gossip->edge->members->self);
 	for (i = 0; i < count; i++)
-		add_change(gossip->edge, changes->pdata[from + i], &beat);
-	send_near(gossip, &beat);
+		add_change(gossip->edge, changes->pdata[from + i], &heartbeat);
+	send_near(gossip, &heartbeat);
 }
 
 /* How many changes may be told at one time, to so many neighbours. */
-static guint changes_most(const struct edge *edge, guint neighbours)
+static guint max_changes(const struct edge *edge, guint neighbours)
 {
 	double datagrams = CHANGE_DATAGRAMS_PER_MBPS * edge->settings.link_mbps;
 	guint beats = (guint)(datagrams / MAX(neighbours, 1));
 
-	return BEAT_MAX_ROWS * MAX(beats, 1);
+	return HEARTBEAT_MAX_ROWS * MAX(beats, 1);
 }
 
-void gossip_tell_changes(struct gossip *gossip)
+void gossip_send_changes(struct gossip *gossip)
 {
 	GPtrArray *changes = backend_table_take_changes(gossip->edge->backends);
-	GPtrArray *near = members_of(gossip, true);
+	GPtrArray *near = find_peers(gossip, true);
 	guint at;
 
-	if (gossip_reads_for_others(gossip) &&
-	    changes->len <= changes_most(gossip->edge, near->len))
-		for (at = 0; at < changes->len; at += BEAT_MAX_ROWS)
-			tell_some(gossip, changes, at,
-				  MIN(BEAT_MAX_ROWS, changes->len - at));
+	if (gossip_is_reader(gossip) &&
+	    changes->len <= max_changes(gossip->edge, near->len))
+		for (at = 0; at < changes->len; at += HEARTBEAT_MAX_ROWS)
+			send_change_batch(gossip, changes, at,
+					  MIN(HEARTBEAT_MAX_ROWS,
+					      changes->len - at));
 	g_ptr_array_unref(near);
 	g_ptr_array_unref(changes);
 }
 
-void gossip_beat_near(struct gossip *gossip)
+void gossip_send_near_heartbeat(struct gossip *gossip)
 {
 	struct edge *edge = gossip->edge;
-	struct beat beat = { .life_count = 0 };
-
-	add_lives(gossip, &beat,
-		  gossip->rounds % GOSSIP_FAR_EVERY ? FEW_LIVES :
-						      BEAT_MAX_LIVES - 1);
-	add_loads(edge, &beat);
-	move_news(edge->warmth.news, &beat, edge_now_us(edge));
-	if (gossip->sync && gossip_reads_for_others(gossip))
-		beat.vouch_count = sync_vouches(gossip->sync, beat.vouches);
-	send_near(gossip, &beat);
+	struct heartbeat heartbeat = { .member_count = 0 };
+
+	add_members(gossip, &heartbeat,
+		    gossip->rounds % GOSSIP_ROUNDS_PER_FAR_HEARTBEAT ?
+			    FEW_RELAYED :
+			    HEARTBEAT_MAX_MEMBERS - 1);
+	add_loads(edge, &heartbeat);
+	move_updates(edge->warmth.news, &heartbeat, edge_now_us(edge));
+	if (gossip->sync && gossip_is_reader(gossip))
+		heartbeat.digest_count =
+			sync_vouches(gossip->sync, heartbeat.digests);
+	send_near(gossip, &heartbeat);
 }
 
-void gossip_beat_far(struct gossip *gossip)
+void gossip_send_far_heartbeat(struct gossip *gossip)
 {
-	struct beat beat = { .life_count = 0 };
+	struct heartbeat heartbeat = { .member_count = 0 };
 
-	add_lives(gossip, &beat, FEW_LIVES);
-	move_news(gossip->edge->warmth.far_news, &beat,
-		  edge_now_us(gossip->edge));
-	send_far(gossip, &beat);
+	add_members(gossip, &heartbeat, FEW_RELAYED);
+	move_updates(gossip->edge->warmth.far_news, &heartbeat,
+		     edge_now_us(gossip->edge));
+	send_far(gossip, &heartbeat);
 }
--- /dev/null
+++ b/packages/edge/gossip_updates.c
@@ -0,0 +1,191 @@
+#include "edge/gossip_internal.h"
+
+#include <inttypes.h>
+
+#include "adapters/log.h"
+#include "core/duration.h"
+#include "edge/quarantine_store.h"
+#include "edge/server_limits.h"
+
+/*
+ * What breaks off at one server breaks off together; told together, it is one
+ * datagram to each node. It is told again after the second of these.
+ */
+#define BATCH_DELAY_US (3 * US_PER_MS)
+#define RESEND_US (40 * US_PER_MS)
+
+/* Of a beat: quarantines are told again and again. */
+#define SUSPECTS_PER_HEARTBEAT 4
+
+/*
+ * Servers' rates are told again in turn, so many with each seventh beat, for a
+ * node may have been cut off.
+ */
+#define RATES_PER_HEARTBEAT 4
+#define ROUNDS_PER_RATES 7
+
+static void on_broadcast_timer(uv_timer_t *timer)
+{
+	struct gossip *gossip = timer->data;
+	struct edge *edge = gossip->edge;
+	struct heartbeat heartbeat = { .member_count = 0 };
+
+	gossip_add_sender(gossip, &heartbeat);
+	heartbeat.suspect_count = suspect_urgent_words(
+		edge->suspects, edge->members->self->hash, edge_now_us(edge),
+		heartbeat.suspects, HEARTBEAT_MAX_SUSPECTS);
+	heartbeat.rate_count = server_limits_urgent_words(edge, heartbeat.rates,
+							  HEARTBEAT_MAX_RATES);
+	if (heartbeat.suspect_count || heartbeat.rate_count)
+		gossip_send_to_all(gossip, &heartbeat);
+	if (suspect_is_urgent(edge->suspects) || server_limits_are_urgent(edge))
+		uv_timer_start(timer, on_broadcast_timer, RESEND_US / US_PER_MS,
+			       0);
+}
+
+void gossip_updates_open(struct gossip *gossip)
+{
+	uv_timer_init(gossip->edge->loop, &gossip->broadcast_timer);
+	gossip->broadcast_timer.data = gossip;
+	gossip->edge->gossip = gossip;
+}
+
+void gossip_updates_close(struct gossip *gossip)
+{
+	gossip->edge->gossip = NULL;
+	uv_close((uv_handle_t *)&gossip->broadcast_timer, NULL);
+}
+
+void gossip_schedule_broadcast(struct gossip *gossip)
+{
+	if (!uv_is_active((uv_handle_t *)&gossip->broadcast_timer))
+		uv_timer_start(&gossip->broadcast_timer, on_broadcast_timer,
+			       BATCH_DELAY_US / US_PER_MS, 0);
+}
+
+void gossip_send_updates(struct gossip *gossip)
+{
+	struct edge *edge = gossip->edge;
+	struct heartbeat heartbeat = { .member_count = 0 };
+	uint64_t now_us = edge_now_us(edge);
+
+	suspect_table_expire(edge->suspects, now_us);
+	if (edge->quarantines)
+		quarantine_store_review(edge->quarantines);
+	gossip_add_sender(gossip, &heartbeat);
+	heartbeat.suspect_count =
+		suspect_words(edge->suspects, edge->members->self->hash, now_us,
+			      heartbeat.suspects, SUSPECTS_PER_HEARTBEAT);
+	if (gossip->rounds % ROUNDS_PER_RATES == 0)
+		heartbeat.rate_count = server_limits_words(
+			edge, heartbeat.rates, RATES_PER_HEARTBEAT);
+	if (heartbeat.suspect_count || heartbeat.rate_count)
+		gossip_send_to_sample(gossip, &heartbeat);
+}
+
+/*
+ * A node that isn't ready yet may have just started, and knows no quarantine
+ * and no server's rate. Told by chance with beats, it would send first.
+ */
+static void update_starting_node(struct gossip *gossip,
+				 const struct heartbeat *heartbeat)
+{
+	struct edge *edge = gossip->edge;
+	const struct heartbeat_member *sender = &heartbeat->members[0];
+	const struct member *member =
+		member_table_find_hash(edge->members, sender->member);
+	struct heartbeat updates = { .member_count = 0 };
+
+	if (!sender->leaving || !member || member == edge->members->self ||
+	    !member->peer.port)
+		return;
+	gossip_add_sender(gossip, &updates);
+	updates.suspect_count = suspect_words(
+		edge->suspects, edge->members->self->hash, edge_now_us(edge),
+		updates.suspects, HEARTBEAT_MAX_SUSPECTS);
+	updates.rate_count =
+		server_limits_words(edge, updates.rates, HEARTBEAT_MAX_RATES);
+	if (updates.suspect_count || updates.rate_count)
+		gossip_send_to_one(gossip, member, &updates);
+}
+
+void gossip_request_tokens(struct gossip *gossip, const struct member *member,
+			   uint32_t life, uint32_t count)
+{
+	struct heartbeat heartbeat = { .member_count = 0 };
+
+	gossip_add_sender(gossip, &heartbeat);
+	heartbeat.tokens[heartbeat.token_count].incarnation = life;
+	heartbeat.tokens[heartbeat.token_count++].requested = count;
+	gossip_send_to_one(gossip, member, &heartbeat);
+}
+
+static void apply_tokens(struct gossip *gossip,
+			 const struct heartbeat *heartbeat)
+{
+	struct edge *edge = gossip->edge;
+	struct heartbeat answers = { .member_count = 0 };
+	const struct member *from;
+	uint32_t i;
+
+	if (!heartbeat->token_count)
+		return;
+	from = member_table_find_hash(edge->members,
+				      heartbeat->members[0].member);
+	if (!from || from == edge->members->self || !from->peer.port)
+		return;
+	gossip_add_sender(gossip, &answers);
+	for (i = 0; i < heartbeat->token_count; i++)
+		if (server_limits_token(edge, from, &heartbeat->tokens[i],
+					&answers.tokens[answers.token_count]))
+			answers.token_count++;
+	if (answers.token_count)
+		gossip_send_to_one(gossip, from, &answers);
+}
+
+/*
+ * Crashes that several nodes saw may add up here first. One of those that saw
+ * any writes the row, not each node that hears of all.
+ */
+static void handle_new_quarantine(struct edge *edge,
+				  const struct suspect_word *update)
+{
+	const struct suspect *suspect =
+		suspect_table_find(edge->suspects, update->fingerprint);
+
+	log_event(LOG_WARNING, "quarantine-told",
+		  "fingerprint=%016" PRIx64 " crashes=%u rounds=%u "
+		  "by_hand=%s left_us=%" PRIu64,
+		  update->fingerprint, update->crash_count, update->rounds,
+		  update->by_hand ? "yes" : "no", update->left_us);
+	if (suspect->seen_here && edge->quarantines)
+		quarantine_store_keep(edge->quarantines, update->fingerprint);
+}
+
+void gossip_apply_updates(struct gossip *gossip,
+			  const struct heartbeat *heartbeat)
+{
+	struct edge *edge = gossip->edge;
+	uint64_t now_us = edge_now_us(edge);
+	uint32_t i;
+
+	update_starting_node(gossip, heartbeat);
+	apply_tokens(gossip, heartbeat);
+	for (i = 0; i < heartbeat->rate_count; i++)
+		if (!server_limits_take(edge, &heartbeat->rates[i]))
+			metric_add(edge->stats.updates_rejected, 1);
+	for (i = 0; i < heartbeat->suspect_count; i++) {
+		const struct suspect_word *update = &heartbeat->suspects[i];
+		bool was_quarantined = suspect_is_quarantined(
+			edge->suspects, update->fingerprint);
+
+		if (!suspect_take(edge->suspects, update,
+				  heartbeat->members[0].member, edge->backends,
+				  now_us))
+			metric_add(edge->stats.updates_rejected, 1);
+		else if (!was_quarantined &&
+			 suspect_is_quarantined(edge->suspects,
+						update->fingerprint))
+			handle_new_quarantine(edge, update);
+	}
+}
--- /dev/null
+++ b/packages/edge/heartbeat.c
@@ -0,0 +1,380 @@
+#include "edge/heartbeat.h"
+
+#include <string.h>
+
+#include "core/duration.h"
+
+/* Format version, so that nodes of two versions ignore each other's news. */
+#define HEARTBEAT_VERSION 7
+
+/*
+ * A suspect: fingerprint, crashes (life, age, run), quarantines and what is
+ * left of the latest, whether it is an operator's, its clearing (if any, and
+ * age), and its run (life and time left). Times in ms.
+ */
+#define SUSPECT_TYPE "(ta(uuu)uubbuuu)"
+
+/* Rates that servers named: life, rate, age in ms. */
+#define RATES_TYPE "a(udu)"
+
+/* Tokens: life, how many are asked for, how many are lent, wait in ms. */
+#define TOKENS_TYPE "a(uuuu)"
+
+#define HEARTBEAT_TYPE                                   \
+	"(ua(utb)a(uuq)a(uu)a(uttu)a" HEARTBEAT_ROW_TYPE \
+	"a" SUSPECT_TYPE RATES_TYPE TOKENS_TYPE ")"
+
+void heartbeat_row_add(GVariantBuilder *rows, const struct heartbeat_row *row)
+{
+	g_variant_builder_add(rows, HEARTBEAT_ROW_TYPE, row->id, row->service,
+			      row->domain, row->address.address,
+			      (guint16)row->address.port, row->slots,
+			      (gboolean)row->draining, row->cold_left_ms,
+			      (guint64)row->started_ms, (guint64)row->version);
+}
+
+static void add_suspect(GVariantBuilder *suspects,
+			const struct suspect_word *update)
+{
+	GVariantBuilder crashes;
+	uint32_t i;
+
+	g_variant_builder_init(&crashes, G_VARIANT_TYPE("a(uuu)"));
+	for (i = 0; i < update->crash_count; i++)
+		g_variant_builder_add(
+			&crashes, "(uuu)", update->crashes[i].life,
+			(guint32)(update->crashes[i].age_us / US_PER_MS),
+			(guint32)(update->crashes[i].ran_us / US_PER_MS));
+	g_variant_builder_add(
+		suspects, SUSPECT_TYPE, (guint64)update->fingerprint, &crashes,
+		update->rounds, (guint32)(update->left_us / US_PER_MS),
+		(gboolean)update->by_hand, (gboolean)update->cleared,
+		(guint32)(update->cleared_age_us / US_PER_MS), update->run_life,
+		(guint32)(update->run_left_us / US_PER_MS));
+}
+
+static void add_rates(GVariantBuilder *rates, const struct heartbeat *heartbeat)
+{
+	uint32_t i;
+
+	g_variant_builder_init(rates, G_VARIANT_TYPE(RATES_TYPE));
+	for (i = 0; i < heartbeat->rate_count; i++)
+		g_variant_builder_add(
+			rates, "(udu)", heartbeat->rates[i].life,
+			heartbeat->rates[i].per_s,
+			(guint32)(heartbeat->rates[i].age_us / US_PER_MS));
+}
+
+static void add_tokens(GVariantBuilder *tokens,
+		       const struct heartbeat *heartbeat)
+{
+	uint32_t i;
+
+	g_variant_builder_init(tokens, G_VARIANT_TYPE(TOKENS_TYPE));
+	for (i = 0; i < heartbeat->token_count; i++)
+		g_variant_builder_add(tokens, "(uuuu)",
+				      heartbeat->tokens[i].incarnation,
+				      heartbeat->tokens[i].requested,
+				      heartbeat->tokens[i].lent,
+				      heartbeat->tokens[i].wait_ms);
+}
+
+GBytes *heartbeat_encode(const struct heartbeat *heartbeat)
+{
+	GVariantBuilder lives;
+	GVariantBuilder pairs;
+	GVariantBuilder loads;
+	GVariantBuilder vouches;
+	GVariantBuilder rows;
+	GVariantBuilder suspects;
+	GVariantBuilder rates;
+	GVariantBuilder tokens;
+	GVariant *variant;
+	GBytes *bytes;
+	uint32_t i;
+
+	g_variant_builder_init(&lives, G_VARIANT_TYPE("a(utb)"));
+	for (i = 0; i < heartbeat->member_count; i++)
+		g_variant_builder_add(&lives, "(utb)",
+				      heartbeat->members[i].member,
+				      (guint64)heartbeat->members[i].number,
+				      (gboolean)heartbeat->members[i].leaving);
+	g_variant_builder_init(&pairs, G_VARIANT_TYPE("a(uuq)"));
+	for (i = 0; i < heartbeat->pair_count; i++)
+		g_variant_builder_add(&pairs, "(uuq)",
+				      heartbeat->pairs[i].pair.backend,
+				      heartbeat->pairs[i].pair.object,
+				      (guint16)heartbeat->pairs[i].ready_ms);
+	g_variant_builder_init(&loads, G_VARIANT_TYPE("a(uu)"));
+	for (i = 0; i < heartbeat->load_count; i++)
+		g_variant_builder_add(&loads, "(uu)",
+				      heartbeat->loads[i].incarnation,
+				      heartbeat->loads[i].in_flight);
+	g_variant_builder_init(&vouches, G_VARIANT_TYPE("a(uttu)"));
+	for (i = 0; i < heartbeat->digest_count; i++)
+		g_variant_builder_add(&vouches, "(uttu)",
+				      heartbeat->digests[i].table,
+				      (guint64)heartbeat->digests[i].digest,
+				      (guint64)heartbeat->digests[i].version,
+				      heartbeat->digests[i].age_ms);
+	g_variant_builder_init(&rows, G_VARIANT_TYPE("a" HEARTBEAT_ROW_TYPE));
+	for (i = 0; i < heartbeat->row_count; i++)
+		heartbeat_row_add(&rows, &heartbeat->rows[i]);
+	g_variant_builder_init(&suspects, G_VARIANT_TYPE("a" SUSPECT_TYPE));
+	for (i = 0; i < heartbeat->suspect_count; i++)
+		add_suspect(&suspects, &heartbeat->suspects[i]);
+	add_rates(&rates, heartbeat);
+	add_tokens(&tokens, heartbeat);
+	variant = g_variant_ref_sink(g_variant_new(
+		HEARTBEAT_TYPE, HEARTBEAT_VERSION, &lives, &pairs, &loads,
+		&vouches, &rows, &suspects, &rates, &tokens));
+	bytes = g_variant_get_data_as_bytes(variant);
+	g_variant_unref(variant);
+	return bytes;
+}
+
+static void read_members(GVariantIter *iter, struct heartbeat *heartbeat)
+{
+	guint32 member;
+	guint64 number;
+	gboolean leaving;
+
+	while (heartbeat->member_count < HEARTBEAT_MAX_MEMBERS &&
+	       g_variant_iter_next(iter, "(utb)", &member, &number, &leaving)) {
+		struct heartbeat_member *life =
+			&heartbeat->members[heartbeat->member_count++];
+
+		life->member = member;
+		life->number = number;
+		life->leaving = leaving;
+	}
+}
+
+static void read_pairs(GVariantIter *iter, struct heartbeat *heartbeat)
+{
+	guint32 backend;
+	guint32 object;
+	guint16 ready_ms;
+
+	while (heartbeat->pair_count < HEARTBEAT_MAX_PAIRS &&
+	       g_variant_iter_next(iter, "(uuq)", &backend, &object,
+				   &ready_ms)) {
+		struct heartbeat_pair *pair =
+			&heartbeat->pairs[heartbeat->pair_count++];
+
+		pair->pair.backend = backend;
+		pair->pair.object = object;
+		pair->ready_ms = ready_ms;
+	}
+}
+
+static void read_loads(GVariantIter *iter, struct heartbeat *heartbeat)
+{
+	guint32 backend;
+	guint32 in_flight;
+
+	while (heartbeat->load_count < HEARTBEAT_MAX_LOADS &&
+	       g_variant_iter_next(iter, "(uu)", &backend, &in_flight)) {
+		struct heartbeat_load *load =
+			&heartbeat->loads[heartbeat->load_count++];
+
+		load->incarnation = backend;
+		load->in_flight = in_flight;
+	}
+}
+
+static void read_digests(GVariantIter *iter, struct heartbeat *heartbeat)
+{
+	guint32 table;
+	guint64 digest;
+	guint64 version;
+	guint32 age_ms;
+
+	while (heartbeat->digest_count < HEARTBEAT_MAX_DIGESTS &&
+	       g_variant_iter_next(iter, "(uttu)", &table, &digest, &version,
+				   &age_ms)) {
+		struct heartbeat_digest *vouch =
+			&heartbeat->digests[heartbeat->digest_count++];
+
+		vouch->table = table;
+		vouch->digest = digest;
+		vouch->version = version;
+		vouch->age_ms = age_ms;
+	}
+}
+
+bool heartbeat_row_next(GVariantIter *iter, struct heartbeat_row *row)
+{
+	const char *id;
+	const char *service;
+	const char *domain;
+	const char *address;
+	guint16 port;
+	guint32 slots;
+	gboolean draining;
+	guint32 cold_left_ms;
+	guint64 started_ms;
+	guint64 version;
+
+	if (!g_variant_iter_next(iter, "(&s&s&s&squbutt)", &id, &service,
+				 &domain, &address, &port, &slots, &draining,
+				 &cold_left_ms, &started_ms, &version))
+		return false;
+	g_strlcpy(row->id, id, sizeof(row->id));
+	g_strlcpy(row->service, service, sizeof(row->service));
+	g_strlcpy(row->domain, domain, sizeof(row->domain));
+	g_strlcpy(row->address.address, address, sizeof(row->address.address));
+	row->address.port = port;
+	row->slots = slots;
+	row->draining = draining;
+	row->cold_left_ms = cold_left_ms;
+	row->started_ms = started_ms;
+	row->version = version;
+	return true;
+}
+
+static void read_rows(GVariantIter *iter, struct heartbeat *heartbeat)
+{
+	while (heartbeat->row_count < HEARTBEAT_MAX_ROWS &&
+	       heartbeat_row_next(iter, &heartbeat->rows[heartbeat->row_count]))
+		heartbeat->row_count++;
+}
+
+/* More crashes than a node tells are told as one too many: a bad word. */
+static void read_crashes(GVariantIter *iter, struct suspect_word *update)
+{
+	guint32 life;
+	guint32 age_ms;
+	guint32 ran_ms;
+
+	while (update->crash_count <= SUSPECT_CRASHES_KEPT &&
+	       g_variant_iter_next(iter, "(uuu)", &life, &age_ms, &ran_ms)) {
+		uint32_t at = update->crash_count++;
+
+		if (at == SUSPECT_CRASHES_KEPT)
+			continue;
+		update->crashes[at].life = life;
+		update->crashes[at].age_us = age_ms * US_PER_MS;
+		update->crashes[at].ran_us = ran_ms * US_PER_MS;
+	}
+}
+
+static void read_suspects(GVariantIter *iter, struct heartbeat *heartbeat)
+{
+	GVariantIter *crashes;
+	guint64 fingerprint;
+	guint32 rounds;
+	guint32 left_ms;
+	gboolean by_hand;
+	gboolean cleared;
+	guint32 cleared_age_ms;
+	guint32 run_life;
+	guint32 run_left_ms;
+
+	while (heartbeat->suspect_count < HEARTBEAT_MAX_SUSPECTS &&
+	       g_variant_iter_next(iter, SUSPECT_TYPE, &fingerprint, &crashes,
+				   &rounds, &left_ms, &by_hand, &cleared,
+				   &cleared_age_ms, &run_life, &run_left_ms)) {
+		struct suspect_word *update =
+			&heartbeat->suspects[heartbeat->suspect_count++];
+
+		update->fingerprint = fingerprint;
+		read_crashes(crashes, update);
+		update->rounds = rounds;
+		update->left_us = left_ms * US_PER_MS;
+		update->by_hand = by_hand;
+		update->cleared = cleared;
+		update->cleared_age_us = cleared_age_ms * US_PER_MS;
+		update->run_life = run_life;
+		update->run_left_us = run_left_ms * US_PER_MS;
+		g_variant_iter_free(crashes);
+	}
+}
+
+static void read_rates(GVariantIter *iter, struct heartbeat *heartbeat)
+{
+	guint32 life;
+	double per_s;
+	guint32 age_ms;
+
+	while (heartbeat->rate_count < HEARTBEAT_MAX_RATES &&
+	       g_variant_iter_next(iter, "(udu)", &life, &per_s, &age_ms)) {
+		struct rate_word *update =
+			&heartbeat->rates[heartbeat->rate_count++];
+
+		update->life = life;
+		update->per_s = per_s;
+		update->age_us = age_ms * US_PER_MS;
+	}
+}
+
+static void read_tokens(GVariantIter *iter, struct heartbeat *heartbeat)
+{
+	guint32 life;
+	guint32 asked;
+	guint32 lent;
+	guint32 wait_ms;
+
+	while (heartbeat->token_count < HEARTBEAT_MAX_TOKENS &&
+	       g_variant_iter_next(iter, "(uuuu)", &life, &asked, &lent,
+				   &wait_ms)) {
+		struct heartbeat_token *token =
+			&heartbeat->tokens[heartbeat->token_count++];
+
+		token->incarnation = life;
+		token->requested = asked;
+		token->lent = lent;
+		token->wait_ms = wait_ms;
+	}
+}
+
+bool heartbeat_decode(const void *bytes, size_t length,
+		      struct heartbeat *heartbeat)
+{
+	GVariant *variant;
+	GVariantIter *lives;
+	GVariantIter *pairs;
+	GVariantIter *loads;
+	GVariantIter *vouches;
+	GVariantIter *rows;
+	GVariantIter *suspects;
+	GVariantIter *rates;
+	GVariantIter *tokens;
+	guint32 version;
+	gpointer copy;
+
+	memset(heartbeat, 0, sizeof(*heartbeat));
+	if (!length || length > HEARTBEAT_MAX_BYTES)
+		return false;
+	/* GVariant wants its bytes aligned, which a copy of the heap is. */
+	copy = g_memdup2(bytes, length);
+	variant = g_variant_ref_sink(
+		g_variant_new_from_data(G_VARIANT_TYPE(HEARTBEAT_TYPE), copy,
+					length, FALSE, g_free, copy));
+	if (!g_variant_is_normal_form(variant)) {
+		g_variant_unref(variant);
+		return false;
+	}
+	g_variant_get(variant, HEARTBEAT_TYPE, &version, &lives, &pairs, &loads,
+		      &vouches, &rows, &suspects, &rates, &tokens);
+	if (version == HEARTBEAT_VERSION) {
+		read_members(lives, heartbeat);
+		read_pairs(pairs, heartbeat);
+		read_loads(loads, heartbeat);
+		read_digests(vouches, heartbeat);
+		read_rows(rows, heartbeat);
+		read_suspects(suspects, heartbeat);
+		read_rates(rates, heartbeat);
+		read_tokens(tokens, heartbeat);
+	}
+	g_variant_iter_free(lives);
+	g_variant_iter_free(pairs);
+	g_variant_iter_free(loads);
+	g_variant_iter_free(vouches);
+	g_variant_iter_free(rows);
+	g_variant_iter_free(suspects);
+	g_variant_iter_free(rates);
+	g_variant_iter_free(tokens);
+	g_variant_unref(variant);
+	return heartbeat->member_count > 0;
+}
--- a/packages/edge/beat.h
+++ b/packages/edge/heartbeat.h
@@ -7,8 +7,8 @@
  * crashing servers, and rates that servers named, are told in beats of their
  * own.
  */
-#ifndef EDGE_BEAT_H
-#define EDGE_BEAT_H
+#ifndef EDGE_HEARTBEAT_H
+#define EDGE_HEARTBEAT_H
 
 #include <glib.h>
 #include <stdbool.h>
@@ -26,37 +26,37 @@
 #endif
 
 /* Largest beat: one Ethernet frame, so that it is never fragmented. */
-#define BEAT_MAX_BYTES 1400
+#define HEARTBEAT_MAX_BYTES 1400
 
 /* News that fit into one beat beside the rest. */
-#define BEAT_MAX_PAIRS 45
-#define BEAT_MAX_LIVES 16
-#define BEAT_MAX_LOADS 40
-#define BEAT_MAX_VOUCHES 3
-#define BEAT_MAX_ROWS 8
-#define BEAT_MAX_SUSPECTS 8
-#define BEAT_MAX_RATES 20
-#define BEAT_MAX_TOKENS 8
-
-struct beat_life {
+#define HEARTBEAT_MAX_PAIRS 45
+#define HEARTBEAT_MAX_MEMBERS 16
+#define HEARTBEAT_MAX_LOADS 40
+#define HEARTBEAT_MAX_DIGESTS 3
+#define HEARTBEAT_MAX_ROWS 8
+#define HEARTBEAT_MAX_SUSPECTS 8
+#define HEARTBEAT_MAX_RATES 20
+#define HEARTBEAT_MAX_TOKENS 8
+
+struct heartbeat_member {
 	uint32_t member; /* hash of its name */
 	uint64_t number; /* rises with each beat of its own */
 	bool leaving;
 };
 
 /* A server that is warm for an object, or will be in so many ms. */
-struct beat_pair {
+struct heartbeat_pair {
 	struct warm_pair pair;
 	uint16_t ready_ms; /* 0: it is */
 };
 
-struct beat_load {
-	uint32_t backend; /* hash of its life */
+struct heartbeat_load {
+	uint32_t incarnation; /* hash of its life */
 	uint32_t in_flight;
 };
 
 /* What the reader of a region vouches for: one of the platform's tables. */
-struct beat_vouch {
+struct heartbeat_digest {
 	uint32_t table; /* enum registry_table */
 	uint64_t digest; /* of what it believes */
 	uint64_t version; /* of the platform's newest row in that */
@@ -64,7 +64,7 @@
 };
 
 /* A backend server that changed; the service is empty where it left. */
-struct beat_row {
+struct heartbeat_row {
 	char id[NAME_SIZE];
 	char service[NAME_SIZE];
 	char domain[NAME_SIZE];
@@ -77,43 +77,45 @@
 };
 
 /* Tokens of a server's rate: asked for, or the answer to that. */
-struct beat_token {
-	uint32_t life; /* of the server */
-	uint32_t asked; /* how many; 0: an answer */
+struct heartbeat_token {
+	uint32_t incarnation; /* of the server */
+	uint32_t requested; /* how many; 0: an answer */
 	uint32_t lent; /* of an answer */
 	uint32_t wait_ms; /* of an answer without: until there may be one */
 };
 
-struct beat {
-	struct beat_life lives[BEAT_MAX_LIVES]; /* the sender's own first */
-	uint32_t life_count;
-	struct beat_pair pairs[BEAT_MAX_PAIRS];
+struct heartbeat {
+	struct heartbeat_member members[HEARTBEAT_MAX_MEMBERS]; /* the sender's
+								   own first */
+	uint32_t member_count;
+	struct heartbeat_pair pairs[HEARTBEAT_MAX_PAIRS];
 	uint32_t pair_count;
-	struct beat_load loads[BEAT_MAX_LOADS];
+	struct heartbeat_load loads[HEARTBEAT_MAX_LOADS];
 	uint32_t load_count;
-	struct beat_vouch vouches[BEAT_MAX_VOUCHES];
-	uint32_t vouch_count;
-	struct beat_row rows[BEAT_MAX_ROWS];
+	struct heartbeat_digest digests[HEARTBEAT_MAX_DIGESTS];
+	uint32_t digest_count;
+	struct heartbeat_row rows[HEARTBEAT_MAX_ROWS];
 	uint32_t row_count;
-	struct suspect_word suspects[BEAT_MAX_SUSPECTS];
+	struct suspect_word suspects[HEARTBEAT_MAX_SUSPECTS];
 	uint32_t suspect_count;
-	struct rate_word rates[BEAT_MAX_RATES];
+	struct rate_word rates[HEARTBEAT_MAX_RATES];
 	uint32_t rate_count;
-	struct beat_token tokens[BEAT_MAX_TOKENS];
+	struct heartbeat_token tokens[HEARTBEAT_MAX_TOKENS];
 	uint32_t token_count;
 };
 
 /* One row in GVariant's words, for whatever carries rows between nodes. */
-#define BEAT_ROW_TYPE "(ssssqubutt)"
-void beat_row_add(GVariantBuilder *rows, const struct beat_row *row);
+#define HEARTBEAT_ROW_TYPE "(ssssqubutt)"
+void heartbeat_row_add(GVariantBuilder *rows, const struct heartbeat_row *row);
 /* The next row; false at the end. */
-bool beat_row_next(GVariantIter *iter, struct beat_row *row);
+bool heartbeat_row_next(GVariantIter *iter, struct heartbeat_row *row);
 
 /* The bytes, for g_bytes_unref(). */
-GBytes *beat_encode(const struct beat *beat);
+GBytes *heartbeat_encode(const struct heartbeat *heartbeat);
 
 /* False where the bytes are no beat of this version. */
-bool beat_decode(const void *bytes, size_t length, struct beat *beat);
+bool heartbeat_decode(const void *bytes, size_t length,
+		      struct heartbeat *heartbeat);
 
 #ifdef __cplusplus
 }
--- a/packages/edge/lane.c
+++ b/packages/edge/lane.c
@@ -4,16 +4,16 @@
 
 #include "core/duration.h"
 
-#define HEAD_MOST (64 * 1024)
+#define MAX_HEAD_BYTES (64 * 1024)
 
 /* Largest answer: a page of 500 rows, or the row of all routes in base64. */
-#define BODY_MOST (16 * 1024 * 1024)
+#define MAX_BODY_BYTES (16 * 1024 * 1024)
 
 /*
  * An answer that is arriving counts as lost after so long without a byte: a
  * path of a continent's width whose packet is sent again takes a third of it.
  */
-#define SILENCE_US (1000 * US_PER_MS)
+#define RECEIVE_TIMEOUT_US (1000 * US_PER_MS)
 
 /* One turn of the loop, in which sockets are read. */
 #define LAST_READ_MS 1
@@ -23,7 +23,7 @@
 	struct lane *lane; /* NULL once the lane has let go of it */
 };
 
-static void let_go(struct lane *lane)
+static void detach_connection(struct lane *lane)
 {
 	struct lane_conn *conn = lane->conn;
 
@@ -70,11 +70,11 @@
 {
 	struct lane *lane = timer->data;
 
-	if (lane->read_again) {
+	if (lane->last_read) {
 		lane_abort(lane, "timeout");
 		return;
 	}
-	lane->read_again = true;
+	lane->last_read = true;
 	uv_timer_start(timer, on_timeout, LAST_READ_MS, 0);
 }
 
@@ -86,15 +86,18 @@
 	if (!lane)
 		return;
 	now_ms = uv_now(lane->loop);
-	if (!lane->end_ms) {
-		lane->begun_ms = now_ms;
-		lane->end_ms = now_ms + lane->arrival_most_us / US_PER_MS;
+	if (!lane->transfer_deadline_ms) {
+		lane->first_byte_ms = now_ms;
+		lane->transfer_deadline_ms =
+			now_ms + lane->max_transfer_us / US_PER_MS;
 	}
-	if (now_ms >= lane->end_ms)
+	if (now_ms >= lane->transfer_deadline_ms)
 		return;
-	lane->read_again = false;
+	lane->last_read = false;
 	uv_timer_start(&lane->timer, on_timeout,
-		       MIN(SILENCE_US / US_PER_MS, lane->end_ms - now_ms), 0);
+		       MIN(RECEIVE_TIMEOUT_US / US_PER_MS,
+			   lane->transfer_deadline_ms - now_ms),
+		       0);
 }
 
 static void on_answered(struct link *link, struct message *answer)
@@ -103,8 +106,8 @@
 
 	if (lane)
 		lane->got_bytes = link->got_bytes;
-	if (lane && (!answer->keep_alive || link->extra))
-		let_go(lane);
+	if (lane && (!answer->keep_alive || link->extra_bytes))
+		detach_connection(lane);
 	if (lane)
 		finish(lane, answer, NULL);
 	message_free(answer);
@@ -118,7 +121,7 @@
 		link_close(link);
 		return;
 	}
-	let_go(lane);
+	detach_connection(lane);
 	finish(lane, NULL, cause);
 }
 
@@ -136,13 +139,13 @@
 };
 
 void lane_init(struct lane *lane, uv_loop_t *loop, const struct endpoint *to,
-	       uint64_t arrival_most_us)
+	       uint64_t max_transfer_us)
 {
 	memset(lane, 0, sizeof(*lane));
 	lane->loop = loop;
 	lane->to = *to;
-	lane->arrival_most_us = arrival_most_us;
-	lane->body_most = BODY_MOST;
+	lane->max_transfer_us = max_transfer_us;
+	lane->max_body_bytes = MAX_BODY_BYTES;
 	uv_timer_init(loop, &lane->timer);
 	lane->timer.data = lane;
 }
@@ -154,7 +157,7 @@
 	uv_close((uv_handle_t *)&lane->timer, NULL);
 }
 
-void lane_redirect(struct lane *lane, const struct endpoint *to)
+void lane_set_address(struct lane *lane, const struct endpoint *to)
 {
 	lane->to = *to;
 	lane_abort(lane, "another address");
@@ -165,9 +168,9 @@
 	return lane->done != NULL;
 }
 
-uint64_t lane_arrival_us(const struct lane *lane)
+uint64_t lane_transfer_us(const struct lane *lane)
 {
-	return (uv_now(lane->loop) - lane->begun_ms) * US_PER_MS;
+	return (uv_now(lane->loop) - lane->first_byte_ms) * US_PER_MS;
 }
 
 bool lane_is_receiving(const struct lane *lane)
@@ -178,13 +181,14 @@
 
 void lane_abort(struct lane *lane, const char *cause)
 {
-	let_go(lane);
+	detach_connection(lane);
 	finish(lane, NULL, cause);
 }
 
 void lane_limit_body(struct lane *lane, uint64_t bytes)
 {
-	lane->body_most = bytes && bytes < BODY_MOST ? bytes : BODY_MOST;
+	lane->max_body_bytes = bytes && bytes < MAX_BODY_BYTES ? bytes :
+								 MAX_BODY_BYTES;
 }
 
 static GString *compose(const struct lane *lane, const char *method,
@@ -208,14 +212,15 @@
 	       const char *body, uint64_t timeout_us, lane_done done,
 	       void *context)
 {
-	const struct message_limits limits = { HEAD_MOST, lane->body_most };
+	const struct message_limits limits = { MAX_HEAD_BYTES,
+					       lane->max_body_bytes };
 	GString *request = compose(lane, method, target, body);
 
 	lane->done = done;
 	lane->context = context;
 	lane->got_bytes = 0;
-	lane->end_ms = 0;
-	lane->read_again = false;
+	lane->transfer_deadline_ms = 0;
+	lane->last_read = false;
 	uv_timer_start(&lane->timer, on_timeout, timeout_us / US_PER_MS, 0);
 	if (lane->conn) {
 		lane->conn->link.reader.limits = limits;
--- a/packages/edge/lane.h
+++ b/packages/edge/lane.h
@@ -38,27 +38,28 @@
 	lane_done done; /* of the call that is out; NULL: none */
 	void *context;
 	uint64_t got_bytes; /* of the latest answer, whole or not */
-	uint64_t arrival_most_us; /* longest time that an answer may arrive */
-	uint64_t body_most; /* bytes of an answer's body */
-	bool read_again; /* the time was over; a last read comes first */
-	uint64_t begun_ms; /* uv_now() when the latest answer's first byte came
-			    */
-	uint64_t end_ms; /* uv_now() by which an answer has arrived; 0: none
-			    has begun to */
+	uint64_t max_transfer_us; /* longest time that an answer may arrive */
+	uint64_t max_body_bytes; /* bytes of an answer's body */
+	bool last_read; /* the time was over; a last read comes first */
+	uint64_t first_byte_ms; /* uv_now() when the latest answer's first byte
+				 * came
+				 */
+	uint64_t transfer_deadline_ms; /* uv_now() by which an answer has
+			    arrived; 0: none has begun to */
 };
 
-/* arrival_most_us ends an answer that trickles. */
+/* max_transfer_us ends an answer that trickles. */
 void lane_init(struct lane *lane, uv_loop_t *loop, const struct endpoint *to,
-	       uint64_t arrival_most_us);
+	       uint64_t max_transfer_us);
 void lane_close(struct lane *lane);
 
 /* Calls go to another address from the next one on. */
-void lane_redirect(struct lane *lane, const struct endpoint *to);
+void lane_set_address(struct lane *lane, const struct endpoint *to);
 
 bool lane_is_busy(const struct lane *lane);
 
 /* In the done function: for how long the answer has been arriving. */
-uint64_t lane_arrival_us(const struct lane *lane);
+uint64_t lane_transfer_us(const struct lane *lane);
 
 /* Whether the answer to the call that is out is arriving. */
 bool lane_is_receiving(const struct lane *lane);
--- a/packages/edge/link.c
+++ b/packages/edge/link.c
@@ -37,7 +37,7 @@
 		case MESSAGE_WHOLE:
 			bytes += used;
 			length -= used;
-			link->extra = length > 0;
+			link->extra_bytes = length > 0;
 			take_answer(link);
 			if (!length)
 				return;
--- a/packages/edge/link.h
+++ b/packages/edge/link.h
@@ -46,7 +46,7 @@
 	bool closing;
 	bool awaiting; /* an answer is due */
 	bool writing; /* part of a request isn't out yet */
-	bool extra; /* bytes came after the answer: don't use it again */
+	bool extra_bytes; /* bytes came after the answer: don't use it again */
 	uint64_t got_bytes; /* of the answer that is due, so far */
 };
 
--- a/packages/edge/local.c
+++ b/packages/edge/local.c
@@ -9,7 +9,7 @@
 #include "edge/sync.h"
 
 /* Nodes that one look-up names at most. */
-#define LOOKUP_MOST 64
+#define LOOKUP_MAX_NODES 64
 
 static bool path_is(const struct message *request, const char *path)
 {
@@ -54,14 +54,15 @@
 			  struct local_answer *answer)
 {
 	char *region = parameter(request, edge->dialect->lookup_region);
-	const struct member *entries[LOOKUP_MOST];
-	struct endpoint endpoints[LOOKUP_MOST];
+	const struct member *entries[LOOKUP_MAX_NODES];
+	struct endpoint endpoints[LOOKUP_MAX_NODES];
 	uint32_t count;
 	uint32_t i;
 	char *text;
 
 	count = member_table_entries(edge->members, region ? region : "",
-				     edge_now_us(edge), entries, LOOKUP_MOST);
+				     edge_now_us(edge), entries,
+				     LOOKUP_MAX_NODES);
 	metric_add(edge->stats.lookups, 1);
 	g_free(region);
 	if (!count) {
--- a/packages/edge/pool.c
+++ b/packages/edge/pool.c
@@ -193,9 +193,10 @@
 	conn->uses++;
 	conn->keep_us = keep_time(answer);
 	conn->idle_since_us = clock_now_us(pool->clock);
-	if (!answer->keep_alive || conn->link.extra || conn->link.writing ||
-	    !conn->link.open || !conn->keep_us || conn->backend->gone ||
-	    conn->backend->draining || conn->backend->kept >= pool->idle_most)
+	if (!answer->keep_alive || conn->link.extra_bytes ||
+	    conn->link.writing || !conn->link.open || !conn->keep_us ||
+	    conn->backend->gone || conn->backend->draining ||
+	    conn->backend->kept >= pool->idle_most)
 		pool_drop(conn);
 	else
 		add_idle(pool, conn);
--- a/packages/edge/quarantine_store.c
+++ b/packages/edge/quarantine_store.c
@@ -375,5 +375,5 @@
 void quarantine_store_redirect(struct quarantine_store *store,
 			       const struct endpoint *to)
 {
-	lane_redirect(&store->lane, to);
+	lane_set_address(&store->lane, to);
 }
--- a/packages/edge/run.c
+++ b/packages/edge/run.c
@@ -128,7 +128,7 @@
 	edge->stopping_us = edge_now_us(edge);
 	log_event(LOG_INFO, "stop-begins", "in_flight=%u callers=%u",
 		  edge->exchanges, g_queue_get_length(&edge->callers));
-	gossip_hurry(run->gossip);
+	gossip_send_heartbeat_now(run->gossip);
 }
 
 /*
@@ -202,7 +202,7 @@
 	log_event(LOG_INFO, "readiness", "ready=%s", ready ? "yes" : "no");
 	if (!ready)
 		return;
-	gossip_hurry(run->gossip);
+	gossip_send_heartbeat_now(run->gossip);
 	sync_became_ready(run->sync);
 }
 
@@ -217,7 +217,7 @@
 	if (passed_us > SUSPENDED_US)
 		after_suspension(run, passed_us);
 	backend_table_expire(edge->backends, now_us);
-	gossip_tell_changes(run->gossip);
+	gossip_send_changes(run->gossip);
 	server_limits_share(edge);
 	callers_sweep(edge);
 	pool_sweep(&edge->pool, edge->backends);
@@ -297,7 +297,7 @@
 	if (!run->gossip)
 		return false;
 	run->sync = sync_open(edge);
-	gossip_attach(run->gossip, run->sync);
+	gossip_set_sync(run->gossip, run->sync);
 	crash_watch_open(edge);
 	quarantine_store_open(edge);
 	start_tick(run);
--- a/packages/edge/server_limits.c
+++ b/packages/edge/server_limits.c
@@ -87,7 +87,7 @@
 	note_change(edge, backend, "answer");
 	backend->limit.urgent = URGENT_TELLS;
 	if (edge->gossip)
-		gossip_tell_words(edge->gossip);
+		gossip_schedule_broadcast(edge->gossip);
 }
 
 bool server_limits_take(struct edge *edge, const struct rate_word *word)
@@ -113,7 +113,8 @@
 		g_random_double(), edge_now_us(edge));
 
 	if (sender && rate_limit_ask(&backend->limit, sender->hash))
-		gossip_ask_tokens(edge->gossip, sender, backend->life, tokens);
+		gossip_request_tokens(edge->gossip, sender, backend->life,
+				      tokens);
 }
 
 bool server_limits_ask(struct edge *edge, struct backend *backend,
@@ -135,25 +136,25 @@
 }
 
 bool server_limits_token(struct edge *edge, const struct member *from,
-			 const struct beat_token *token,
-			 struct beat_token *answer)
+			 const struct heartbeat_token *token,
+			 struct heartbeat_token *answer)
 {
 	struct backend *backend =
-		backend_table_find_life(edge->backends, token->life);
+		backend_table_find_life(edge->backends, token->incarnation);
 	uint64_t now_us = edge_now_us(edge);
 	uint64_t wait_us;
 
 	if (!backend)
 		return false;
-	if (!token->asked) {
+	if (!token->requested) {
 		rate_limit_answered(&backend->limit, from->hash, token->lent,
 				    token->wait_ms * US_PER_MS, now_us);
 		return false;
 	}
-	answer->life = token->life;
-	answer->asked = 0;
-	answer->lent = rate_limit_lend(&backend->limit, token->asked, now_us,
-				       &wait_us);
+	answer->incarnation = token->incarnation;
+	answer->requested = 0;
+	answer->lent = rate_limit_lend(&backend->limit, token->requested,
+				       now_us, &wait_us);
 	answer->wait_ms = (uint32_t)(wait_us / US_PER_MS) + 1;
 	return true;
 }
--- a/packages/edge/server_limits.h
+++ b/packages/edge/server_limits.h
@@ -8,7 +8,7 @@
 #define EDGE_SERVER_LIMITS_H
 
 #include "core/rate_limit.h"
-#include "edge/beat.h"
+#include "edge/heartbeat.h"
 #include "edge/edge.h"
 #include "edge/message.h"
 
@@ -32,8 +32,8 @@
 
 /* A member asks for tokens, or answers; whether it gets an answer to that. */
 bool server_limits_token(struct edge *edge, const struct member *from,
-			 const struct beat_token *token,
-			 struct beat_token *answer);
+			 const struct heartbeat_token *token,
+			 struct heartbeat_token *answer);
 
 /* This node's parts, by the members as they are known now. */
 void server_limits_share(struct edge *edge);
--- a/packages/edge/snapshot.c
+++ b/packages/edge/snapshot.c
@@ -4,9 +4,9 @@
 
 #define TABLES_TYPE "a(utu)"
 #define ROWS_TYPE "a(uss)"
-#define BACKENDS_TYPE "a" BEAT_ROW_TYPE
-#define LAPSED_TYPE "as"
-#define SNAPSHOT_TYPE "(u" TABLES_TYPE ROWS_TYPE BACKENDS_TYPE LAPSED_TYPE ")"
+#define BACKENDS_TYPE "a" HEARTBEAT_ROW_TYPE
+#define EXPIRED_TYPE "as"
+#define SNAPSHOT_TYPE "(u" TABLES_TYPE ROWS_TYPE BACKENDS_TYPE EXPIRED_TYPE ")"
 
 void snapshot_begin(struct snapshot_writer *writer)
 {
@@ -14,7 +14,7 @@
 	g_variant_builder_init(&writer->rows, G_VARIANT_TYPE(ROWS_TYPE));
 	g_variant_builder_init(&writer->backends,
 			       G_VARIANT_TYPE(BACKENDS_TYPE));
-	g_variant_builder_init(&writer->lapsed, G_VARIANT_TYPE(LAPSED_TYPE));
+	g_variant_builder_init(&writer->expired, G_VARIANT_TYPE(EXPIRED_TYPE));
 }
 
 void snapshot_add_table(struct snapshot_writer *writer,
@@ -24,29 +24,29 @@
 			      (guint64)table->version, table->age_ms);
 }
 
-void snapshot_add(struct snapshot_writer *writer,
-		  const struct snapshot_row *row)
+void snapshot_add_row(struct snapshot_writer *writer,
+		      const struct snapshot_row *row)
 {
 	g_variant_builder_add(&writer->rows, "(uss)", row->table, row->key,
 			      row->value);
 }
 
 void snapshot_add_backend(struct snapshot_writer *writer,
-			  const struct beat_row *backend)
+			  const struct heartbeat_row *backend)
 {
-	beat_row_add(&writer->backends, backend);
+	heartbeat_row_add(&writer->backends, backend);
 }
 
-void snapshot_add_lapsed(struct snapshot_writer *writer, const char *id)
+void snapshot_add_expired(struct snapshot_writer *writer, const char *id)
 {
-	g_variant_builder_add(&writer->lapsed, "s", id);
+	g_variant_builder_add(&writer->expired, "s", id);
 }
 
 GBytes *snapshot_end(struct snapshot_writer *writer)
 {
 	GVariant *variant = g_variant_ref_sink(g_variant_new(
 		SNAPSHOT_TYPE, SNAPSHOT_VERSION, &writer->tables, &writer->rows,
-		&writer->backends, &writer->lapsed));
+		&writer->backends, &writer->expired));
 	GBytes *bytes = g_variant_get_data_as_bytes(variant);
 
 	g_variant_unref(variant);
@@ -58,16 +58,16 @@
 {
 	struct snapshot_table table;
 	struct snapshot_row row;
-	struct beat_row backend;
+	struct heartbeat_row backend;
 	GVariantIter *tables;
 	GVariantIter *rows;
 	GVariantIter *backends;
-	GVariantIter *lapsed;
+	GVariantIter *expired;
 	const char *id;
 	guint64 version;
 
 	g_variant_get(variant, SNAPSHOT_TYPE, NULL, &tables, &rows, &backends,
-		      &lapsed);
+		      &expired);
 	while (g_variant_iter_next(tables, "(utu)", &table.table, &version,
 				   &table.age_ms)) {
 		table.version = version;
@@ -76,14 +76,14 @@
 	while (g_variant_iter_next(rows, "(u&s&s)", &row.table, &row.key,
 				   &row.value))
 		visitor->row(context, &row);
-	while (beat_row_next(backends, &backend))
+	while (heartbeat_row_next(backends, &backend))
 		visitor->backend(context, &backend);
-	while (g_variant_iter_next(lapsed, "&s", &id))
-		visitor->lapsed(context, id);
+	while (g_variant_iter_next(expired, "&s", &id))
+		visitor->expired(context, id);
 	g_variant_iter_free(tables);
 	g_variant_iter_free(rows);
 	g_variant_iter_free(backends);
-	g_variant_iter_free(lapsed);
+	g_variant_iter_free(expired);
 }
 
 bool snapshot_read(const void *bytes, size_t length,
@@ -92,7 +92,7 @@
 	GVariant *variant;
 	guint32 version = 0;
 	gpointer copy;
-	bool good;
+	bool valid;
 
 	if (!length)
 		return false;
@@ -101,13 +101,13 @@
 	variant = g_variant_ref_sink(
 		g_variant_new_from_data(G_VARIANT_TYPE(SNAPSHOT_TYPE), copy,
 					length, FALSE, g_free, copy));
-	good = g_variant_is_normal_form(variant);
-	if (good) {
+	valid = g_variant_is_normal_form(variant);
+	if (valid) {
 		g_variant_get_child(variant, 0, "u", &version);
-		good = version == SNAPSHOT_VERSION;
+		valid = version == SNAPSHOT_VERSION;
 	}
-	if (good)
+	if (valid)
 		visit_all(variant, visitor, context);
 	g_variant_unref(variant);
-	return good;
+	return valid;
 }
--- a/packages/edge/snapshot.h
+++ b/packages/edge/snapshot.h
@@ -17,7 +17,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#include "edge/beat.h"
+#include "edge/heartbeat.h"
 
 #ifdef __cplusplus
 extern "C" {
@@ -49,25 +49,25 @@
 struct snapshot_visitor {
 	void (*table)(void *context, const struct snapshot_table *table);
 	void (*row)(void *context, const struct snapshot_row *row);
-	void (*backend)(void *context, const struct beat_row *backend);
-	void (*lapsed)(void *context, const char *id);
+	void (*backend)(void *context, const struct heartbeat_row *backend);
+	void (*expired)(void *context, const char *id);
 };
 
 struct snapshot_writer {
 	GVariantBuilder tables;
 	GVariantBuilder rows;
 	GVariantBuilder backends;
-	GVariantBuilder lapsed;
+	GVariantBuilder expired;
 };
 
 void snapshot_begin(struct snapshot_writer *writer);
 void snapshot_add_table(struct snapshot_writer *writer,
 			const struct snapshot_table *table);
-void snapshot_add(struct snapshot_writer *writer,
-		  const struct snapshot_row *row);
+void snapshot_add_row(struct snapshot_writer *writer,
+		      const struct snapshot_row *row);
 void snapshot_add_backend(struct snapshot_writer *writer,
-			  const struct beat_row *backend);
-void snapshot_add_lapsed(struct snapshot_writer *writer, const char *id);
+			  const struct heartbeat_row *backend);
+void snapshot_add_expired(struct snapshot_writer *writer, const char *id);
 /* The bytes, for g_bytes_unref(). */
 GBytes *snapshot_end(struct snapshot_writer *writer);
 
--- a/packages/edge/stats.h
+++ b/packages/edge/stats.h
@@ -25,13 +25,13 @@
 	struct metric *connects; /* connections opened to them */
 	struct metric *shed; /* answers that say "not run" */
 	struct metric *strays; /* answers of other requests, dropped */
-	struct metric *words_rejected; /* absurd ones, of neighbours */
+	struct metric *updates_rejected; /* absurd ones, of neighbours */
 	struct metric *quarantined; /* requests refused as quarantined */
 	struct metric *lookups;
 	struct metric *registry_reads[READ_CAUSES];
 	struct metric *registry_writes;
-	struct metric *asked; /* neighbours, for tables */
-	struct metric *given; /* tables to neighbours */
+	struct metric *snapshot_requests; /* neighbours, for tables */
+	struct metric *snapshots_served; /* tables to neighbours */
 	struct metric *registry_failures;
 	struct metric *registry_bytes; /* of whole answers */
 	struct metric *registry_lost_bytes; /* of answers that broke off */
--- a/packages/edge/sync.c
+++ b/packages/edge/sync.c
@@ -153,8 +153,8 @@
 	uint32_t i;
 
 	for (i = 0; i < FOLLOWERS; i++)
-		lane_redirect(&sync->followers[i].lane, to);
-	lane_redirect(&sync->own_lane, to);
+		lane_set_address(&sync->followers[i].lane, to);
+	lane_set_address(&sync->own_lane, to);
 }
 
 void sync_refresh(struct sync *sync)
--- a/packages/edge/sync.h
+++ b/packages/edge/sync.h
@@ -8,7 +8,7 @@
 #ifndef EDGE_SYNC_H
 #define EDGE_SYNC_H
 
-#include "edge/beat.h"
+#include "edge/heartbeat.h"
 #include "edge/edge.h"
 
 #ifdef __cplusplus
@@ -60,8 +60,9 @@
  * word by it, up to the same version, and calls the platform itself only where
  * digests differ or the word grows old.
  */
-uint32_t sync_vouches(const struct sync *sync, struct beat_vouch *vouches);
-void sync_vouched(struct sync *sync, const struct beat_vouch *vouch);
+uint32_t sync_vouches(const struct sync *sync,
+		      struct heartbeat_digest *vouches);
+void sync_vouched(struct sync *sync, const struct heartbeat_digest *vouch);
 
 /*
  * What this node knows of the tables (a sum of SNAPSHOT_TABLE()), for a
--- a/packages/edge/sync_neighbours.c
+++ b/packages/edge/sync_neighbours.c
@@ -37,7 +37,7 @@
 		const struct snapshot_row row = { follower->rule->table, key,
 						  value };
 
-		snapshot_add(writer, &row);
+		snapshot_add_row(writer, &row);
 	}
 }
 
@@ -51,10 +51,10 @@
 	g_hash_table_iter_init(&iter, edge->backends->by_id);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct backend *backend = value;
-		struct beat_row row;
+		struct heartbeat_row row;
 
 		if (backend->lapsed_us) {
-			snapshot_add_lapsed(writer, backend->id);
+			snapshot_add_expired(writer, backend->id);
 			continue;
 		}
 		backend_row_fill(backend, now_us, &row);
@@ -116,7 +116,7 @@
 			     (uint32_t)edge->settings.link_mbps, now_us);
 	if (!fits)
 		return NULL;
-	metric_add(edge->stats.given, 1);
+	metric_add(edge->stats.snapshots_served, 1);
 	return g_bytes_ref(sync->given);
 }
 
@@ -169,7 +169,7 @@
 }
 
 static void log_if_leaving(const struct edge *edge,
-			   const struct beat_row *backend)
+			   const struct heartbeat_row *backend)
 {
 	const struct backend *known =
 		backend_table_find(edge->backends, backend->id);
@@ -180,7 +180,7 @@
 			  backend->id, backend->draining ? "yes" : "no");
 }
 
-static void take_backend(void *context, const struct beat_row *backend)
+static void take_backend(void *context, const struct heartbeat_row *backend)
 {
 	struct taking *taking = context;
 	struct follower *follower = &taking->sync->followers[REGISTRY_BACKENDS];
@@ -229,7 +229,7 @@
 	.table = take_table,
 	.row = take_row,
 	.backend = take_backend,
-	.lapsed = take_lapsed,
+	.expired = take_lapsed,
 };
 
 static bool take_snapshot(struct sync *sync, const struct message *answer)
@@ -316,8 +316,8 @@
 				 tables);
 	if (strcmp(sync->neighbour.to.address, to->address) != 0 ||
 	    sync->neighbour.to.port != to->port)
-		lane_redirect(&sync->neighbour, to);
-	metric_add(sync->edge->stats.asked, 1);
+		lane_set_address(&sync->neighbour, to);
+	metric_add(sync->edge->stats.snapshot_requests, 1);
 	lane_call(&sync->neighbour, "GET", target, NULL, ASK_TIMEOUT_US,
 		  on_snapshot, sync);
 	g_free(target);
@@ -410,7 +410,7 @@
 	       follower->sync->routes_unread;
 }
 
-uint32_t sync_vouches(const struct sync *sync, struct beat_vouch *vouches)
+uint32_t sync_vouches(const struct sync *sync, struct heartbeat_digest *vouches)
 {
 	uint64_t now_us = edge_now_us(sync->edge);
 	uint32_t count = 0;
@@ -432,7 +432,7 @@
 	return count;
 }
 
-void sync_vouched(struct sync *sync, const struct beat_vouch *vouch)
+void sync_vouched(struct sync *sync, const struct heartbeat_digest *vouch)
 {
 	uint64_t now_us = edge_now_us(sync->edge);
 	struct follower *follower;
--- a/tests/edge/confirmation_test.cc
+++ b/tests/edge/confirmation_test.cc
@@ -201,7 +201,7 @@
  */
 TEST_F(ConfirmationTest, AReaderThatCannotReadTheNewestVouchesForNoRoutes)
 {
-	struct beat_vouch vouches[BEAT_MAX_VOUCHES];
+	struct heartbeat_digest vouches[HEARTBEAT_MAX_DIGESTS];
 
 	add_app("i-1");
 	start_node();
--- a/tests/edge/gossip_test.cc
+++ b/tests/edge/gossip_test.cc
@@ -11,9 +11,9 @@
 #include "core/duration.h"
 #include "core/fingerprint.h"
 #include "core/hash.h"
-#include "edge/beat.h"
+#include "edge/heartbeat.h"
 #include "edge/edge_world.h"
-#include "edge/gossip_parts.h"
+#include "edge/gossip_internal.h"
 #include "edge/quarantine_store.h"
 #include "edge/server_limits.h"
 
@@ -35,79 +35,79 @@
 		close(socket_);
 	}
 	/* The node reads for its region; the neighbour is its only other. */
-	void start_with_neighbour()
+	void start_with_peer()
 	{
 		struct endpoint free_port;
-		struct member *neighbour;
+		struct member *peer_member;
 
 		start_node();
 		close(open_socket(&free_port));
 		edge->settings.peer = free_port;
-		neighbour = member_table_put(edge->members, "neighbour");
-		neighbour->hash = UINT32_MAX;
-		neighbour->peer = own_;
-		set_region(neighbour);
+		peer_member = member_table_put(edge->members, "neighbour");
+		peer_member->hash = UINT32_MAX;
+		peer_member->peer = own_;
+		set_region(peer_member);
 		set_region(edge->members->self);
 		gossip = gossip_open(edge, nullptr);
 		ASSERT_NE(nullptr, gossip);
-		gossip_attach(gossip, sync);
-		wait_for([this] { return hear(), !beats.empty(); });
-		beats.clear();
+		gossip_set_sync(gossip, sync);
+		wait_for([this] { return receive(), !heartbeats.empty(); });
+		heartbeats.clear();
 	}
-	void hear()
+	void receive()
 	{
-		char bytes[2 * BEAT_MAX_BYTES];
-		struct beat beat;
+		char bytes[2 * HEARTBEAT_MAX_BYTES];
+		struct heartbeat heartbeat;
 		ssize_t length;
 
 		while ((length = recv(socket_, bytes, sizeof(bytes),
 				      MSG_DONTWAIT)) > 0)
-			if (beat_decode(bytes, (size_t)length, &beat))
-				beats.push_back(beat);
+			if (heartbeat_decode(bytes, (size_t)length, &heartbeat))
+				heartbeats.push_back(heartbeat);
 	}
-	void say(const std::string &bytes)
+	void send_datagram(const std::string &bytes)
 	{
 		struct sockaddr_in to = address_of(edge->settings.peer);
 
 		sendto(socket_, bytes.data(), bytes.size(), 0,
 		       (struct sockaddr *)&to, sizeof(to));
 	}
-	void say(const struct beat &beat)
+	void send_datagram(const struct heartbeat &heartbeat)
 	{
-		GBytes *bytes = beat_encode(&beat);
+		GBytes *bytes = heartbeat_encode(&heartbeat);
 		gsize length;
 		const char *data =
 			(const char *)g_bytes_get_data(bytes, &length);
 
-		say(std::string(data, length));
+		send_datagram(std::string(data, length));
 		g_bytes_unref(bytes);
 	}
 	/* The neighbour reads for the region, and knows what the node does. */
-	struct beat beat_of_reader()
+	struct heartbeat heartbeat_of_reader()
 	{
-		struct beat beat = {};
+		struct heartbeat heartbeat = {};
 
-		struct member *neighbour =
+		struct member *peer_member =
 			member_table_find(edge->members, "neighbour");
 
-		neighbour->hash = 0;
-		neighbour->link_mbps = edge->members->self->link_mbps;
-		beat.lives[beat.life_count++] = { 0, 1, false };
-		beat.vouch_count = sync_vouches(sync, beat.vouches);
-		for (uint32_t i = 0; i < beat.vouch_count; i++)
-			beat.vouches[i].age_ms = 0;
-		return beat;
+		peer_member->hash = 0;
+		peer_member->link_mbps = edge->members->self->link_mbps;
+		heartbeat.members[heartbeat.member_count++] = { 0, 1, false };
+		heartbeat.digest_count = sync_vouches(sync, heartbeat.digests);
+		for (uint32_t i = 0; i < heartbeat.digest_count; i++)
+			heartbeat.digests[i].age_ms = 0;
+		return heartbeat;
 	}
-	std::set<std::string> told() const
+	std::set<std::string> sent_rows() const
 	{
 		std::set<std::string> ids;
 
-		for (const struct beat &beat : beats)
-			for (uint32_t i = 0; i < beat.row_count; i++)
-				ids.insert(beat.rows[i].id);
+		for (const struct heartbeat &heartbeat : heartbeats)
+			for (uint32_t i = 0; i < heartbeat.row_count; i++)
+				ids.insert(heartbeat.rows[i].id);
 		return ids;
 	}
-	std::deque<struct beat> beats;
+	std::deque<struct heartbeat> heartbeats;
 
       private:
 	static void set_region(struct member *member)
@@ -143,18 +143,18 @@
  * reader's tables were confirmed. Taken for new, they confirmed routes that had
  * been replaced long ago, and callers of new routes got a final 404.
  */
-TEST_F(GossipTest, BeatsThatWaitedForASuspendedNodeConfirmNothing)
+TEST_F(GossipTest, QueuedHeartbeatsOfASuspendedNodeConfirmNothing)
 {
 	const uint64_t stood_ms = 1000;
 
-	start_with_neighbour();
-	struct beat beat = beat_of_reader();
+	start_with_peer();
+	struct heartbeat heartbeat = heartbeat_of_reader();
 	std::this_thread::sleep_for(std::chrono::milliseconds(50));
-	say(beat);
+	send_datagram(heartbeat);
 	std::this_thread::sleep_for(std::chrono::milliseconds(stood_ms));
 	turn_for(50);
 	EXPECT_GE(sync_routes_age_us(sync), stood_ms * 1000);
-	say(beat);
+	send_datagram(heartbeat);
 	wait_for([this] { return sync_routes_age_us(sync) < 100000; });
 }
 
@@ -163,31 +163,31 @@
  * region's nodes before the row did, so each of them called the store for what
  * it was about to be told.
  */
-TEST_F(GossipTest, ChangesAreToldBeforeTheDigestsThatHaveThem)
+TEST_F(GossipTest, ChangesAreSentBeforeTheirDigests)
 {
 	add_app("i-1");
 	add_app("i-2");
-	start_with_neighbour();
+	start_with_peer();
 	uint64_t before = backend_table_digest(edge->backends);
 	list_app(apps[0], "draining");
 	wait_for(
 		[&] { return backend_table_digest(edge->backends) != before; });
 	uint64_t after = backend_table_digest(edge->backends);
-	gossip_hurry(gossip);
+	gossip_send_heartbeat_now(gossip);
 	wait_for([&] {
-		hear();
-		for (const struct beat &beat : beats)
-			for (uint32_t i = 0; i < beat.vouch_count; i++)
-				if (beat.vouches[i].digest == after)
+		receive();
+		for (const struct heartbeat &heartbeat : heartbeats)
+			for (uint32_t i = 0; i < heartbeat.digest_count; i++)
+				if (heartbeat.digests[i].digest == after)
 					return true;
 		return false;
 	});
-	bool has_told = false;
-	for (const struct beat &beat : beats) {
-		has_told |= beat.row_count > 0;
-		for (uint32_t i = 0; i < beat.vouch_count; i++)
-			EXPECT_TRUE(beat.vouches[i].digest != after ||
-				    has_told);
+	bool row_sent = false;
+	for (const struct heartbeat &heartbeat : heartbeats) {
+		row_sent |= heartbeat.row_count > 0;
+		for (uint32_t i = 0; i < heartbeat.digest_count; i++)
+			EXPECT_TRUE(heartbeat.digests[i].digest != after ||
+				    row_sent);
 	}
 }
 
@@ -195,17 +195,19 @@
  * A failure domain's servers come back together. More changes than one beat
  * holds were told by none, and all nodes read the table for themselves.
  */
-TEST_F(GossipTest, ManyChangesAtOnceAreAllTold)
+TEST_F(GossipTest, ManyChangesAtOnceAreAllSent)
 {
 	add_app("i-0");
-	start_with_neighbour();
-	for (int i = 1; i <= 3 * BEAT_MAX_ROWS; i++) {
+	start_with_peer();
+	for (int i = 1; i <= 3 * HEARTBEAT_MAX_ROWS; i++) {
 		App app = apps[0];
 
 		app.id = "i-" + std::to_string(i);
 		list_app(app, "ready");
 	}
-	wait_for([&] { return hear(), told().size() == 3 * BEAT_MAX_ROWS; });
+	wait_for([&] {
+		return receive(), sent_rows().size() == 3 * HEARTBEAT_MAX_ROWS;
+	});
 }
 
 /*
@@ -213,39 +215,39 @@
  * hears it tells the others at home; of its own region's news it tells nobody,
  * or each pair would go round for ever.
  */
-TEST_F(GossipTest, OnlyNewsOfOtherRegionsIsPassedOn)
+TEST_F(GossipTest, OnlyUpdatesOfOtherRegionsAreRelayed)
 {
-	struct beat beat = {};
-	std::set<uint32_t> heard;
+	struct heartbeat heartbeat = {};
+	std::set<uint32_t> received;
 
-	start_with_neighbour();
+	start_with_peer();
 	struct member *far = member_table_put(edge->members, "far");
 	far->hash = 77;
 	g_free(far->region);
 	far->region = g_strdup("r2");
-	beat.lives[beat.life_count++] = { 77, 1, false };
-	beat.pairs[beat.pair_count++] = { { 11, 22 }, 0 };
-	say(beat);
-	beat.lives[0].member = UINT32_MAX;
-	beat.pairs[0] = { { 11, 33 }, 0 };
-	say(beat);
+	heartbeat.members[heartbeat.member_count++] = { 77, 1, false };
+	heartbeat.pairs[heartbeat.pair_count++] = { { 11, 22 }, 0 };
+	send_datagram(heartbeat);
+	heartbeat.members[0].member = UINT32_MAX;
+	heartbeat.pairs[0] = { { 11, 33 }, 0 };
+	send_datagram(heartbeat);
 	wait_for([&] {
 		return warmth_has(&edge->warmth, { 11, 22 }) &&
 		       warmth_has(&edge->warmth, { 11, 33 });
 	});
 	turn_for(1500);
-	hear();
-	for (const struct beat &one : beats)
+	receive();
+	for (const struct heartbeat &one : heartbeats)
 		for (uint32_t i = 0; i < one.pair_count; i++)
-			heard.insert(one.pairs[i].pair.object);
-	EXPECT_EQ(std::set<uint32_t>{ 22 }, heard);
+			received.insert(one.pairs[i].pair.object);
+	EXPECT_EQ(std::set<uint32_t>{ 22 }, received);
 }
 
 /*
  * An object ran cold at a server. Until the neighbours know, each of them has
  * it run cold once more: they wait for the next beat, or a quarter of that.
  */
-TEST_F(GossipTest, NewsDoNotWaitForTheNextBeat)
+TEST_F(GossipTest, UpdatesDontWaitForTheNextHeartbeat)
 {
 	struct gossip quiet = {};
 	int due = 0;
@@ -264,30 +266,30 @@
  * A neighbour runs a first request for an object. This node must hear of it
  * before the run ends, or it would have the object run cold a second time.
  */
-TEST_F(GossipTest, AServerThatIsAboutToBeWarmIsTold)
+TEST_F(GossipTest, ServerAboutToBeWarmIsAnnounced)
 {
-	struct beat beat = {};
+	struct heartbeat heartbeat = {};
 
-	start_with_neighbour();
+	start_with_peer();
 	warmth_begin(&edge->warmth, { 5, 6 }, WARM_OWN,
 		     edge_now_us(edge) + 5 * US_PER_S, edge_now_us(edge));
 	/* Its run must have ended; whether it warmed is told apart. */
 	warmth_begin(&edge->warmth, { 5, 7 }, WARM_OWN, edge_now_us(edge),
 		     edge_now_us(edge));
 	wait_for([&] {
-		hear();
-		for (const struct beat &one : beats)
+		receive();
+		for (const struct heartbeat &one : heartbeats)
 			for (uint32_t i = 0; i < one.pair_count; i++)
 				if (one.pairs[i].pair.object == 6)
 					return one.pairs[i].ready_ms > 3000;
 		return false;
 	});
-	for (const struct beat &one : beats)
+	for (const struct heartbeat &one : heartbeats)
 		for (uint32_t i = 0; i < one.pair_count; i++)
 			EXPECT_NE(7u, one.pairs[i].pair.object);
-	beat.lives[beat.life_count++] = { UINT32_MAX, 1, false };
-	beat.pairs[beat.pair_count++] = { { 11, 22 }, 4000 };
-	say(beat);
+	heartbeat.members[heartbeat.member_count++] = { UINT32_MAX, 1, false };
+	heartbeat.pairs[heartbeat.pair_count++] = { { 11, 22 }, 4000 };
+	send_datagram(heartbeat);
 	wait_for([&] {
 		return warmth_ready_us(&edge->warmth, { 11, 22 },
 				       edge_now_us(edge)) != 0;
@@ -296,20 +298,20 @@
 }
 
 /* A start of all: more news than one beat holds go out in the next ones. */
-TEST_F(GossipTest, NewsThatDoNotFitGoOutLater)
+TEST_F(GossipTest, UpdatesThatDontFitAreSentLater)
 {
-	std::set<uint32_t> heard;
+	std::set<uint32_t> received;
 
-	start_with_neighbour();
-	for (uint32_t i = 0; i < 3 * BEAT_MAX_PAIRS; i++)
+	start_with_peer();
+	for (uint32_t i = 0; i < 3 * HEARTBEAT_MAX_PAIRS; i++)
 		warmth_note(&edge->warmth, { 1, i }, WARM_OWN,
 			    edge_now_us(edge));
 	wait_for([&] {
-		hear();
-		for (const struct beat &beat : beats)
-			for (uint32_t i = 0; i < beat.pair_count; i++)
-				heard.insert(beat.pairs[i].pair.object);
-		return heard.size() == 3 * BEAT_MAX_PAIRS;
+		receive();
+		for (const struct heartbeat &heartbeat : heartbeats)
+			for (uint32_t i = 0; i < heartbeat.pair_count; i++)
+				received.insert(heartbeat.pairs[i].pair.object);
+		return received.size() == 3 * HEARTBEAT_MAX_PAIRS;
 	});
 }
 
@@ -318,10 +320,10 @@
  * each change to each neighbour, its link was full for seconds, and changes
  * that mattered came late. A flood is left to each node's own call.
  */
-TEST_F(GossipTest, AFloodOfChangesIsNotTold)
+TEST_F(GossipTest, TooManyChangesAreNotSent)
 {
 	add_app("i-0");
-	start_with_neighbour();
+	start_with_peer();
 	for (int i = 0; i < 100; i++) {
 		std::string name = "m" + std::to_string(i);
 		struct member *member =
@@ -331,7 +333,7 @@
 		member->region = g_strdup("r1");
 		member->peer = endpoint_at(9);
 	}
-	for (int i = 1; i <= 3 * BEAT_MAX_ROWS; i++) {
+	for (int i = 1; i <= 3 * HEARTBEAT_MAX_ROWS; i++) {
 		App app = apps[0];
 
 		app.id = "i-" + std::to_string(i);
@@ -339,50 +341,50 @@
 	}
 	wait_for([&] {
 		return g_hash_table_size(edge->backends->by_id) ==
-		       3 * BEAT_MAX_ROWS + 1;
+		       3 * HEARTBEAT_MAX_ROWS + 1;
 	});
 	turn_for(1000);
-	hear();
-	EXPECT_GE((size_t)BEAT_MAX_ROWS, told().size());
+	receive();
+	EXPECT_GE((size_t)HEARTBEAT_MAX_ROWS, sent_rows().size());
 }
 
 /* What the list held when it was first read is no change. */
-TEST_F(GossipTest, TheFirstListIsNotTold)
+TEST_F(GossipTest, FirstReadOfTheTableSendsNoChanges)
 {
 	for (int i = 0; i < 5; i++)
 		add_app("i-" + std::to_string(i));
-	start_with_neighbour();
-	gossip_hurry(gossip);
-	wait_for([this] { return hear(), !beats.empty(); });
-	EXPECT_TRUE(told().empty());
+	start_with_peer();
+	gossip_send_heartbeat_now(gossip);
+	wait_for([this] { return receive(), !heartbeats.empty(); });
+	EXPECT_TRUE(sent_rows().empty());
 }
 
 /* A node that the list doesn't name is heard: the reader looks for its row. */
-TEST_F(GossipTest, AnUnknownNodeMakesTheReaderLook)
+TEST_F(GossipTest, UnknownNodeMakesTheReaderReadMembers)
 {
-	struct beat beat = {};
+	struct heartbeat heartbeat = {};
 
-	start_with_neighbour();
+	start_with_peer();
 	store_stand_put(store, "members", "n9",
 			"{\"domain\":\"d1\",\"region\":\"r1\","
 			"\"front\":\"127.0.0.9:1\",\"peer\":\"127.0.0.9:2\"}");
-	beat.lives[beat.life_count++] = { UINT32_MAX, 1, false };
-	beat.lives[beat.life_count++] = { 12345, 1, false };
+	heartbeat.members[heartbeat.member_count++] = { UINT32_MAX, 1, false };
+	heartbeat.members[heartbeat.member_count++] = { 12345, 1, false };
 	wait_for([&] {
-		say(beat);
+		send_datagram(heartbeat);
 		return member_table_find(edge->members, "n9") != nullptr;
 	});
 }
 
 /* Spoiled datagrams, and ones of other programs, change nothing. */
-TEST_F(GossipTest, BytesThatAreNoBeatChangeNothing)
+TEST_F(GossipTest, InvalidDatagramsChangeNothing)
 {
 	add_app("i-1");
-	start_with_neighbour();
+	start_with_peer();
 	uint64_t before = backend_table_digest(edge->backends);
-	say(std::string("hello"));
-	say(std::string(BEAT_MAX_BYTES + 1, 'x'));
-	say(std::string(64, '\0'));
+	send_datagram(std::string("hello"));
+	send_datagram(std::string(HEARTBEAT_MAX_BYTES + 1, 'x'));
+	send_datagram(std::string(64, '\0'));
 	turn_for(100);
 	EXPECT_EQ(before, backend_table_digest(edge->backends));
 	EXPECT_EQ(2u, member_table_count(edge->members));
@@ -390,24 +392,24 @@
 }
 
 /* Guards against a node that isn't told giving a deadly request three more. */
-TEST_F(GossipTest, AQuarantineIsTakenFromANeighbour)
+TEST_F(GossipTest, QuarantineOfAPeerIsApplied)
 {
 	const struct fingerprint_parts parts = { "GET",	  "h.example", "/r/x",
 						 nullptr, nullptr,     0 };
-	struct suspect_word word = {};
-	struct beat beat = {};
+	struct suspect_word update = {};
+	struct heartbeat heartbeat = {};
 
 	add_app("i-1");
-	start_with_neighbour();
-	word.fingerprint = fingerprint_of(&parts);
-	word.crash_count = 3;
+	start_with_peer();
+	update.fingerprint = fingerprint_of(&parts);
+	update.crash_count = 3;
 	for (uint32_t i = 0; i < 3; i++)
-		word.crashes[i] = { 100 + i, (i + 1) * US_PER_S, US_PER_MS };
-	word.rounds = 1;
-	word.left_us = 100 * US_PER_S;
-	beat.lives[beat.life_count++] = { UINT32_MAX, 1, false };
-	beat.suspects[beat.suspect_count++] = word;
-	say(beat);
+		update.crashes[i] = { 100 + i, (i + 1) * US_PER_S, US_PER_MS };
+	update.rounds = 1;
+	update.left_us = 100 * US_PER_S;
+	heartbeat.members[heartbeat.member_count++] = { UINT32_MAX, 1, false };
+	heartbeat.suspects[heartbeat.suspect_count++] = update;
+	send_datagram(heartbeat);
 	wait_for([this] { return edge->suspects->count > 0; });
 	EXPECT_EQ(503, status_of(answer_to(get("a1", "/r/x"))));
 	EXPECT_EQ(200, status_of(answer_to(get("a2", "/r/y"))));
@@ -415,30 +417,30 @@
 }
 
 /* Guards against crashes seen at three nodes being kept by none of them. */
-TEST_F(GossipTest, AQuarantineThatAddsUpHereIsKept)
+TEST_F(GossipTest, QuarantineFromCombinedCrashesIsStored)
 {
 	App &app = add_app("i-1");
-	struct suspect_word word = {};
-	struct beat beat = {};
+	struct suspect_word update = {};
+	struct heartbeat heartbeat = {};
 
 	app_stand_set_deadly(app.stand, "/r/x");
-	start_with_neighbour();
+	start_with_peer();
 	struct quarantine_store *quarantines = quarantine_store_open(edge);
 	quarantine_store_members_known(quarantines);
 	wait_for([&] { return !quarantine_store_is_reading(quarantines); });
 	answer_to(get("a1", "/r/x"));
 	wait_for([this] { return edge->suspects->count > 0; });
 	for (uint32_t i = 0; i < SUSPECTS_MOST; i++)
-		word.fingerprint =
-			MAX(word.fingerprint, edge->suspects->keys[i]);
-	word.crash_count = 2;
+		update.fingerprint =
+			MAX(update.fingerprint, edge->suspects->keys[i]);
+	update.crash_count = 2;
 	for (uint32_t i = 0; i < 2; i++)
-		word.crashes[i] = { 100 + i, (i + 1) * US_PER_S, US_PER_MS };
-	beat.lives[beat.life_count++] = { UINT32_MAX, 1, false };
-	beat.suspects[beat.suspect_count++] = word;
-	say(beat);
+		update.crashes[i] = { 100 + i, (i + 1) * US_PER_S, US_PER_MS };
+	heartbeat.members[heartbeat.member_count++] = { UINT32_MAX, 1, false };
+	heartbeat.suspects[heartbeat.suspect_count++] = update;
+	send_datagram(heartbeat);
 	char key[17];
-	snprintf(key, sizeof(key), "%016" PRIx64, word.fingerprint);
+	snprintf(key, sizeof(key), "%016" PRIx64, update.fingerprint);
 	wait_for([&] { return store_stand_get(store, "quarantines", key); });
 	quarantine_store_close(quarantines);
 	turn_for(20);
@@ -446,78 +448,84 @@
 }
 
 /* Guards against a node that has just started knowing no quarantine. */
-TEST_F(GossipTest, ANodeThatStartsIsToldOfQuarantines)
+TEST_F(GossipTest, StartingNodeReceivesQuarantines)
 {
-	struct beat beat = {};
+	struct heartbeat heartbeat = {};
 
 	add_app("i-1");
-	start_with_neighbour();
+	start_with_peer();
 	ASSERT_TRUE(suspect_quarantine(edge->suspects, 7, edge_now_us(edge)));
-	beat.lives[beat.life_count++] = { UINT32_MAX, 1, true };
-	beats.clear();
-	say(beat);
+	heartbeat.members[heartbeat.member_count++] = { UINT32_MAX, 1, true };
+	heartbeats.clear();
+	send_datagram(heartbeat);
 	wait_for([this] {
-		return hear(), !beats.empty() && beats.back().suspect_count;
+		return receive(),
+		       !heartbeats.empty() && heartbeats.back().suspect_count;
 	});
-	EXPECT_EQ(7u, beats.back().suspects[0].fingerprint);
+	EXPECT_EQ(7u, heartbeats.back().suspects[0].fingerprint);
 }
 
 /* Guards against neighbours that hear too late of a server that ended. */
-TEST_F(GossipTest, AServersEndUnderARequestIsToldAtOnce)
+TEST_F(GossipTest, CrashWhileRunningARequestIsBroadcast)
 {
 	App &app = add_app("i-1");
 
 	app_stand_set_deadly(app.stand, "/r/x");
-	start_with_neighbour();
+	start_with_peer();
 	answer_to(get("a1", "/r/x"));
 	wait_for([this] {
-		return hear(), !beats.empty() && beats.back().suspect_count;
+		return receive(),
+		       !heartbeats.empty() && heartbeats.back().suspect_count;
 	});
-	EXPECT_EQ(1u, beats.back().suspects[0].crash_count);
-	EXPECT_GT(100 * US_PER_MS, beats.back().suspects[0].crashes[0].age_us);
+	EXPECT_EQ(1u, heartbeats.back().suspects[0].crash_count);
+	EXPECT_GT(100 * US_PER_MS,
+		  heartbeats.back().suspects[0].crashes[0].age_us);
 }
 
 /* A node that is no sender of a server's rate, and a neighbour that is one. */
 class TokenTest : public GossipTest
 {
       protected:
-	void start_beside_sender()
+	void start_beside_holder()
 	{
-		struct member *neighbour;
+		struct member *peer_member;
 
 		app = &add_app("i-1");
 		app_stand_set_headers(app->stand, "Server-Limit: 1\r\n");
-		start_with_neighbour();
+		start_with_peer();
 		edge->began_us = 0;
-		neighbour = member_table_find(edge->members, "neighbour");
+		peer_member = member_table_find(edge->members, "neighbour");
 		backend = backend_table_find(edge->backends, "i-1");
-		neighbour->hash = hash_before(0);
-		put_dead_sender(hash_before(neighbour->hash + 1));
-		member_heard(neighbour, 1, false, edge_now_us(edge));
-		const struct rate_word word = { backend->life, 1, 0 };
-		ASSERT_TRUE(server_limits_take(edge, &word));
+		peer_member->hash = hash_before(0);
+		put_dead_holder(hash_before(peer_member->hash + 1));
+		member_heard(peer_member, 1, false, edge_now_us(edge));
+		const struct rate_word update = { backend->life, 1, 0 };
+		ASSERT_TRUE(server_limits_take(edge, &update));
 		ASSERT_DOUBLE_EQ(0, backend->limit.part_per_s);
 	}
 	/* The node's question for a token reaches the neighbour. */
-	bool was_asked()
+	bool token_was_requested()
 	{
-		hear();
-		for (const struct beat &beat : beats)
-			if (beat.token_count && beat.tokens[0].asked)
-				return beat.tokens[0].life == backend->life;
+		receive();
+		for (const struct heartbeat &heartbeat : heartbeats)
+			if (heartbeat.token_count &&
+			    heartbeat.tokens[0].requested)
+				return heartbeat.tokens[0].incarnation ==
+				       backend->life;
 		return false;
 	}
 	void answer(uint32_t lent)
 	{
-		struct beat beat = {};
-		struct member *neighbour =
+		struct heartbeat heartbeat = {};
+		struct member *peer_member =
 			member_table_find(edge->members, "neighbour");
 
-		beat.lives[beat.life_count++] = { neighbour->hash, ++number,
-						  false };
-		beat.tokens[beat.token_count++] = { backend->life, 0, lent,
-						    100 };
-		say(beat);
+		heartbeat.members[heartbeat.member_count++] = {
+			peer_member->hash, ++number, false
+		};
+		heartbeat.tokens[heartbeat.token_count++] = { backend->life, 0,
+							      lent, 100 };
+		send_datagram(heartbeat);
 	}
 	App *app;
 	struct backend *backend;
@@ -534,7 +542,7 @@
 			from++;
 		return from;
 	}
-	void put_dead_sender(uint32_t hash)
+	void put_dead_holder(uint32_t hash)
 	{
 		struct member *dead = member_table_put(edge->members, "dead");
 
@@ -544,22 +552,22 @@
 	}
 };
 
-TEST_F(TokenTest, ARequestRunsWithABorrowedToken)
+TEST_F(TokenTest, RequestRunsWithABorrowedToken)
 {
-	start_beside_sender();
+	start_beside_holder();
 	auto caller = call(get("a1", "/r/"));
-	wait_for([this] { return was_asked(); });
+	wait_for([this] { return token_was_requested(); });
 	answer(true);
 	wait_for([&] { return is_whole(*caller); });
 	EXPECT_EQ(200, status_of(caller->got));
 	EXPECT_EQ(1u, app_stand_runs(app->stand, "a1"));
 }
 
-TEST_F(TokenTest, WithoutATokenItIsRefusedAtOnce)
+TEST_F(TokenTest, RequestWithoutATokenIsRefusedAtOnce)
 {
-	start_beside_sender();
+	start_beside_holder();
 	auto caller = call(get("a1", "/r/"));
-	wait_for([this] { return was_asked(); });
+	wait_for([this] { return token_was_requested(); });
 	answer(false);
 	uint64_t began = uv_hrtime();
 	wait_for([&] { return is_whole(*caller); });
@@ -569,15 +577,15 @@
 }
 
 /* Tokens that nobody was asked for, or that come twice, let nothing through. */
-TEST_F(TokenTest, ATokenThatWasNotAskedForCountsNothing)
+TEST_F(TokenTest, UnrequestedTokenIsIgnored)
 {
-	start_beside_sender();
+	start_beside_holder();
 	for (int i = 0; i < 5; i++)
 		answer(true);
 	turn_for(50);
 	EXPECT_FALSE(rate_limit_allows(&backend->limit, edge_now_us(edge)));
 	auto caller = call(get("a1", "/r/"));
-	wait_for([this] { return was_asked(); });
+	wait_for([this] { return token_was_requested(); });
 	answer(true);
 	answer(true);
 	wait_for([&] { return is_whole(*caller); });
--- /dev/null
+++ b/tests/edge/heartbeat_test.cc
@@ -0,0 +1,145 @@
+/* Datagrams between nodes: they come whole, cut, spoiled, or from elsewhere. */
+#include <gtest/gtest.h>
+
+#include <cstring>
+#include <random>
+#include <string>
+
+#include "edge/heartbeat.h"
+
+namespace
+{
+
+struct heartbeat full_heartbeat()
+{
+	struct heartbeat heartbeat = {};
+
+	for (uint32_t i = 0; i < 3; i++)
+		heartbeat.members[heartbeat.member_count++] = { i + 1, 100 + i,
+								i == 2 };
+	for (uint32_t i = 0; i < 20; i++)
+		heartbeat.pairs[heartbeat.pair_count++] = { { i, i * 7 },
+							    (uint16_t)i };
+	for (uint32_t i = 0; i < 10; i++)
+		heartbeat.loads[heartbeat.load_count++] = { i, i + 1 };
+	heartbeat.digests[heartbeat.digest_count++] = { 1,
+							0x1234567890abcdefull,
+							3148, 250 };
+	for (uint32_t i = 0; i < 2; i++) {
+		struct heartbeat_row *row =
+			&heartbeat.rows[heartbeat.row_count++];
+
+		g_strlcpy(row->id, i ? "i-left" : "i-1", sizeof(row->id));
+		if (!i)
+			g_strlcpy(row->service, "s", sizeof(row->service));
+		g_strlcpy(row->address.address, "10.0.0.1",
+			  sizeof(row->address.address));
+		row->address.port = 80;
+		row->slots = 3;
+		row->draining = !i;
+		row->cold_left_ms = 1200;
+		row->started_ms = 1777081648000ull + i;
+		row->version = 5166 + i;
+	}
+	return heartbeat;
+}
+
+std::string encode(const struct heartbeat &heartbeat)
+{
+	GBytes *bytes = heartbeat_encode(&heartbeat);
+	gsize length;
+	const char *data =
+		static_cast<const char *>(g_bytes_get_data(bytes, &length));
+	std::string text(data, length);
+
+	g_bytes_unref(bytes);
+	return text;
+}
+
+TEST(HeartbeatTest, DecodesWhatWasEncoded)
+{
+	struct heartbeat sent = full_heartbeat();
+	struct heartbeat got;
+	std::string bytes = encode(sent);
+
+	ASSERT_LE(bytes.size(), (size_t)HEARTBEAT_MAX_BYTES);
+	ASSERT_TRUE(heartbeat_decode(bytes.data(), bytes.size(), &got));
+	EXPECT_EQ(3u, got.member_count);
+	EXPECT_EQ(102u, got.members[2].number);
+	EXPECT_TRUE(got.members[2].leaving);
+	EXPECT_EQ(20u, got.pair_count);
+	EXPECT_EQ(133u, got.pairs[19].pair.object);
+	EXPECT_EQ(19u, got.pairs[19].ready_ms);
+	EXPECT_EQ(10u, got.loads[9].in_flight);
+	EXPECT_EQ(sent.digests[0].digest, got.digests[0].digest);
+	EXPECT_EQ(3148u, got.digests[0].version);
+	EXPECT_EQ(250u, got.digests[0].age_ms);
+	EXPECT_EQ(5167u, got.rows[1].version);
+	EXPECT_STREQ("i-left", got.rows[1].id);
+	EXPECT_STREQ("", got.rows[1].service);
+	EXPECT_TRUE(got.rows[0].draining);
+	EXPECT_EQ(80, got.rows[0].address.port);
+	EXPECT_EQ(1777081648001u, got.rows[1].started_ms);
+}
+
+/* The fullest beat that a node makes still fits into one frame. */
+TEST(HeartbeatTest, FullHeartbeatFitsIntoAFrame)
+{
+	struct heartbeat heartbeat = {};
+
+	heartbeat.member_count = HEARTBEAT_MAX_MEMBERS;
+	heartbeat.pair_count = HEARTBEAT_MAX_PAIRS;
+	heartbeat.load_count = HEARTBEAT_MAX_LOADS;
+	heartbeat.digest_count = HEARTBEAT_MAX_DIGESTS;
+	EXPECT_LE(encode(heartbeat).size(), (size_t)HEARTBEAT_MAX_BYTES);
+}
+
+/* The words that go to all at once, as many as one datagram may hold. */
+TEST(HeartbeatTest, FullUpdatesFitIntoAFrame)
+{
+	struct heartbeat heartbeat = {};
+	struct heartbeat got;
+
+	heartbeat.member_count = 1;
+	heartbeat.suspect_count = HEARTBEAT_MAX_SUSPECTS;
+	for (struct suspect_word &update : heartbeat.suspects)
+		update.crash_count = SUSPECT_CRASHES_KEPT;
+	heartbeat.rate_count = HEARTBEAT_MAX_RATES;
+	heartbeat.rates[19] = { 7, 1.8, 2000000 };
+	heartbeat.token_count = HEARTBEAT_MAX_TOKENS;
+	heartbeat.tokens[7] = { 9, false, true, 250 };
+	std::string bytes = encode(heartbeat);
+	ASSERT_LE(bytes.size(), (size_t)HEARTBEAT_MAX_BYTES);
+	ASSERT_TRUE(heartbeat_decode(bytes.data(), bytes.size(), &got));
+	EXPECT_EQ(7u, got.rates[19].life);
+	EXPECT_DOUBLE_EQ(1.8, got.rates[19].per_s);
+	EXPECT_EQ(2000000u, got.rates[19].age_us);
+	EXPECT_EQ(9u, got.tokens[7].incarnation);
+	EXPECT_TRUE(got.tokens[7].lent);
+	EXPECT_EQ(250u, got.tokens[7].wait_ms);
+}
+
+TEST(HeartbeatTest, InvalidBytesAreRejected)
+{
+	std::string bytes = encode(full_heartbeat());
+	std::mt19937 random(5);
+	struct heartbeat got;
+
+	EXPECT_FALSE(heartbeat_decode("", 0, &got));
+	EXPECT_FALSE(heartbeat_decode("hello", 5, &got));
+	EXPECT_FALSE(
+		heartbeat_decode(std::string(5000, 'x').data(), 5000, &got));
+	for (int round = 0; round < 5000; round++) {
+		std::string corrupted = bytes;
+
+		for (int i = 0; i < 3; i++)
+			corrupted[random() % corrupted.size()] = (char)random();
+		corrupted.resize(1 + random() % corrupted.size());
+		if (!heartbeat_decode(corrupted.data(), corrupted.size(), &got))
+			continue;
+		EXPECT_LE(got.member_count, (uint32_t)HEARTBEAT_MAX_MEMBERS);
+		EXPECT_LE(got.row_count, (uint32_t)HEARTBEAT_MAX_ROWS);
+	}
+}
+
+} // namespace
--- a/tests/edge/lane_test.cc
+++ b/tests/edge/lane_test.cc
@@ -28,31 +28,32 @@
 	std::string cause;
 };
 
-struct arrival_case {
+struct transfer_case {
 	const char *name;
-	uint64_t most_ms; /* that an answer may arrive */
+	uint64_t max_transfer_ms; /* that an answer may arrive */
 	bool whole; /* one that takes 2.5 s */
 };
 
-const arrival_case arrival_cases[] = {
+const transfer_case transfer_cases[] = {
 	{ "InItsTime", 4000, true },
 	{ "Trickles", 1500, false },
 };
 
-class ArrivalTest : public LaneTest,
-		    public ::testing::WithParamInterface<arrival_case>
+class LaneTransferTest : public LaneTest,
+			 public ::testing::WithParamInterface<transfer_case>
 {
 };
 
-TEST_P(ArrivalTest, EndsByItsTime)
+TEST_P(LaneTransferTest, EndsByItsDeadline)
 {
-	const arrival_case &c = GetParam();
+	const transfer_case &c = GetParam();
 	struct lane lane;
 	uint64_t begun_ns;
 
 	put_large(2);
 	narrow_link();
-	lane_init(&lane, &loop, store_stand_at(store), c.most_ms * 1000);
+	lane_init(&lane, &loop, store_stand_at(store),
+		  c.max_transfer_ms * 1000);
 	begun_ns = uv_hrtime();
 	lane_call(&lane, "GET", "/api/rows-get?table=op&part=&limit=500",
 		  nullptr, 1000000, on_done, this);
@@ -60,14 +61,16 @@
 	EXPECT_EQ(c.whole, whole);
 	if (!c.whole) {
 		EXPECT_EQ("timeout", cause);
-		EXPECT_LT((uv_hrtime() - begun_ns) / 1000000, c.most_ms + 500);
+		EXPECT_LT((uv_hrtime() - begun_ns) / 1000000,
+			  c.max_transfer_ms + 500);
 		EXPECT_GT(lane.got_bytes, 0u);
 	}
 	lane_close(&lane);
 	turn_for(20);
 }
 
-INSTANTIATE_TEST_SUITE_P(Cases, ArrivalTest, ::testing::ValuesIn(arrival_cases),
+INSTANTIATE_TEST_SUITE_P(Cases, LaneTransferTest,
+			 ::testing::ValuesIn(transfer_cases),
 			 [](const auto &info) { return info.param.name; });
 
 } // namespace
--- a/tests/edge/large_document.h
+++ b/tests/edge/large_document.h
@@ -63,7 +63,7 @@
 	 */
 	void vouch(uint64_t differs, uint64_t others_differ = 0)
 	{
-		struct beat_vouch vouches[BEAT_MAX_VOUCHES];
+		struct heartbeat_digest vouches[HEARTBEAT_MAX_DIGESTS];
 		uint32_t count = sync_vouches(sync, vouches);
 
 		reader_lives();
--- a/tests/edge/large_document_test.cc
+++ b/tests/edge/large_document_test.cc
@@ -91,7 +91,7 @@
  */
 TEST_F(LargeDocumentTest, AReaderDoesNotConfirmWhatIsBeingReplaced)
 {
-	struct beat_vouch vouches[BEAT_MAX_VOUCHES];
+	struct heartbeat_digest vouches[HEARTBEAT_MAX_DIGESTS];
 	uint64_t put_us;
 
 	add_app("i-1");
--- a/tests/edge/link_fault_test.cc
+++ b/tests/edge/link_fault_test.cc
@@ -37,7 +37,7 @@
 	struct relay *relay = nullptr;
 };
 
-struct harm_case {
+struct fault_case {
 	const char *name;
 	const char *story;
 	enum relay_harm harm;
@@ -50,7 +50,7 @@
  * A request has used the connection; the harm strikes while it rests, and then
  * the next request comes.
  */
-const harm_case harm_cases[] = {
+const fault_case fault_cases[] = {
 	{ "Delayed", "late, and whole", RELAY_DELAY, "/r/", 200, 200 },
 	{ "ResetRead", "sent again on a new connection", RELAY_RESET, "/r/",
 	  200, 200 },
@@ -66,14 +66,14 @@
 	  504, 200 },
 };
 
-class HarmTest : public LinkFaultTest,
-		 public ::testing::WithParamInterface<harm_case>
+class LinkFaultCaseTest : public LinkFaultTest,
+			  public ::testing::WithParamInterface<fault_case>
 {
 };
 
-TEST_P(HarmTest, IsAnsweredTrulyAndEnds)
+TEST_P(LinkFaultCaseTest, GetsACorrectAnswer)
 {
-	const harm_case &c = GetParam();
+	const fault_case &c = GetParam();
 	std::string more = "Lilacfield-Deadline-Ms: 900\r\n";
 
 	SCOPED_TRACE(c.story);
@@ -93,11 +93,12 @@
 	EXPECT_GE(1u, app_stand_runs(apps[0].stand, "a1"));
 }
 
-INSTANTIATE_TEST_SUITE_P(Cases, HarmTest, ::testing::ValuesIn(harm_cases),
+INSTANTIATE_TEST_SUITE_P(Cases, LinkFaultCaseTest,
+			 ::testing::ValuesIn(fault_cases),
 			 [](const auto &info) { return info.param.name; });
 
 /* The answer comes whole, and no faster than the link brings it. */
-TEST_F(LinkFaultTest, ANarrowLinkTakesItsTime)
+TEST_F(LinkFaultTest, NarrowLinkLimitsThroughput)
 {
 	const uint64_t bytes_per_s = 1000;
 	const uint64_t least_bytes = 60; /* of an answer with its headers */
@@ -115,7 +116,7 @@
  * A middlebox forgets all connections of a quiet spell. The first request finds
  * out by its time; each other kept connection cost one more caller the same.
  */
-TEST_F(LinkFaultTest, OneSilentConnectionCondemnsTheOthers)
+TEST_F(LinkFaultTest, OneDeadConnectionClosesTheOthers)
 {
 	std::vector<std::unique_ptr<RawCaller>> callers;
 
--- a/tests/edge/neighbour_test.cc
+++ b/tests/edge/neighbour_test.cc
@@ -65,7 +65,7 @@
 	/* The first node, the reader, beats to the second. */
 	void vouch_to_second()
 	{
-		struct beat_vouch vouches[BEAT_MAX_VOUCHES];
+		struct heartbeat_digest vouches[HEARTBEAT_MAX_DIGESTS];
 		uint32_t count = sync_vouches(sync, vouches);
 
 		member_heard(member_table_find(second.members, "n1"), ++beat,
@@ -76,7 +76,7 @@
 	/* A beat tells the second node that the server leaves, or has left. */
 	void tell_second_draining(const char *id)
 	{
-		struct beat_row row;
+		struct heartbeat_row row;
 
 		backend_row_fill(backend_table_find(second.backends, id),
 				 edge_now_us(&second), &row);
@@ -86,7 +86,7 @@
 	}
 	void tell_second_left(const char *id)
 	{
-		struct beat_row row = {};
+		struct heartbeat_row row = {};
 
 		g_strlcpy(row.id, id, sizeof(row.id));
 		row.version = store_stand_version(store);
--- a/tests/edge/server_limit_test.cc
+++ b/tests/edge/server_limit_test.cc
@@ -151,7 +151,7 @@
 /* Ever lower rates, each of them news for all nodes. */
 TEST_F(ServerLimitTest, RatesThatKeepFallingCostBoundedWords)
 {
-	struct rate_word told[BEAT_MAX_RATES];
+	struct rate_word told[HEARTBEAT_MAX_RATES];
 	uint32_t words = 0;
 	App &needy = add_app("i-1");
 
@@ -162,7 +162,8 @@
 			("Server-Limit: " + std::to_string(2000 - i) + "\r\n")
 				.c_str());
 		answer_to(get("a" + std::to_string(i), "/r/"));
-		words += server_limits_urgent_words(edge, told, BEAT_MAX_RATES);
+		words += server_limits_urgent_words(edge, told,
+						    HEARTBEAT_MAX_RATES);
 		turn_for(10);
 	}
 	ASSERT_DOUBLE_EQ(1951, limit_of("i-1").per_s);
--- a/tests/edge/sync_test.cc
+++ b/tests/edge/sync_test.cc
@@ -192,7 +192,7 @@
 	/* What the reader's beat says of both tables. */
 	void vouch(uint32_t age_ms, uint64_t differs = 0)
 	{
-		struct beat_vouch vouches[BEAT_MAX_VOUCHES];
+		struct heartbeat_digest vouches[HEARTBEAT_MAX_DIGESTS];
 		uint32_t count = sync_vouches(sync, vouches);
 
 		member_heard(member_table_find(edge->members, "reader"), ++beat,
@@ -281,7 +281,7 @@
 	set_silent(false);
 	uint64_t end_ns = uv_hrtime() + 3000ull * 1000000;
 	while (edge->routes->version != 8 && uv_hrtime() < end_ns) {
-		struct beat_vouch vouches[BEAT_MAX_VOUCHES];
+		struct heartbeat_digest vouches[HEARTBEAT_MAX_DIGESTS];
 		uint32_t count = sync_vouches(sync, vouches);
 
 		member_heard(member_table_find(edge->members, "reader"), ++beat,
@@ -373,11 +373,11 @@
 		.table = [](void *, const struct snapshot_table *) {},
 		.row = [](void *, const struct snapshot_row *) {},
 		.backend =
-			[](void *context, const struct beat_row *backend) {
+			[](void *context, const struct heartbeat_row *backend) {
 				((std::set<std::string> *)context)
 					->insert(backend->id);
 			},
-		.lapsed = [](void *, const char *) {},
+		.expired = [](void *, const char *) {},
 	};
 	EXPECT_TRUE(snapshot_read(g_bytes_get_data(bytes, nullptr),
 				  g_bytes_get_size(bytes), &names, &told));
@@ -451,7 +451,7 @@
 	struct snapshot_writer writer;
 	const struct snapshot_table table = { 1, 7, 300 };
 	const struct snapshot_row row = { 1, "key", "value" };
-	const struct beat_row backend = {};
+	const struct heartbeat_row backend = {};
 	int seen = 0;
 	const struct snapshot_visitor count = {
 		.table =
@@ -463,20 +463,20 @@
 				++*static_cast<int *>(at);
 			},
 		.backend =
-			[](void *at, const struct beat_row *) {
+			[](void *at, const struct heartbeat_row *) {
 				++*static_cast<int *>(at);
 			},
-		.lapsed = [](void *at,
-			     const char *) { ++*static_cast<int *>(at); },
+		.expired = [](void *at,
+			      const char *) { ++*static_cast<int *>(at); },
 	};
 	gsize length;
 
 	snapshot_begin(&writer);
 	snapshot_add_table(&writer, &table);
-	snapshot_add(&writer, &row);
-	snapshot_add(&writer, &row);
+	snapshot_add_row(&writer, &row);
+	snapshot_add_row(&writer, &row);
 	snapshot_add_backend(&writer, &backend);
-	snapshot_add_lapsed(&writer, "i-1");
+	snapshot_add_expired(&writer, "i-1");
 	GBytes *bytes = snapshot_end(&writer);
 	const char *data =
 		static_cast<const char *>(g_bytes_get_data(bytes, &length));
