--- a/packages/edge/gossip.c
+++ b/packages/edge/gossip.c
@@ -8,24 +8,25 @@
 #include "core/result.h"
 
 /*
- * Between two ticks. A beat goes to a neighbour each fourth, 400 ms, since
- * loads change within a service time. News of what is warm goes with each:
- * until a neighbour knows, it has the object run cold once more.
+ * Interval of the timer. A heartbeat goes to peers each fourth tick, 400 ms,
+ * since loads change within a service time. Warmth updates are sent each tick:
+ * until a peer has one, it causes another cold run of the object.
  */
 #define TICK_US (100 * US_PER_MS)
 
 /*
- * A loop that is at its timer so late stood still, and beats that came in the
- * meantime wait in the socket. Three ticks, since reading a large document may
- * take one; where it takes longer, the reader's next beat comes soon enough.
+ * A loop that runs a callback so long after the previous one was stalled, and
+ * the datagrams that came in the meantime wait in the socket. Three ticks,
+ * since parsing a large document may take one. After a longer parse the
+ * reader's next heartbeat comes soon enough.
  */
 #define MAX_TURN_US (3 * TICK_US)
 
-/* --- hearing ------------------------------------------------------------ */
+/* --- receiving ---------------------------------------------------------- */
 
 /*
- * Of other regions a node hears now and then, so that their members seem to
- * come and go: not worth a line each.
+ * Members of other regions aren't logged: their heartbeats come seldom, so they
+ * would seem to leave and return all the time.
  */
 static void log_member_state(const struct edge *edge,
 			     const struct member *member)
@@ -44,9 +45,9 @@
 	uint32_t i;
 
 	for (i = 0; i < heartbeat->member_count; i++) {
-		const struct heartbeat_member *life = &heartbeat->members[i];
+		const struct heartbeat_member *entry = &heartbeat->members[i];
 		struct member *member =
-			member_table_find_hash(edge->members, life->member);
+			member_table_find_hash(edge->members, entry->member);
 		bool served;
 
 		if (!member)
@@ -54,17 +55,18 @@
 		if (!member || member == edge->members->self)
 			continue;
 		served = member_serves(edge->members, member, now_us);
-		if (member_heard(member, life->number, life->leaving, now_us) &&
-		    served == life->leaving)
+		if (member_heard(member, entry->number, entry->leaving,
+				 now_us) &&
+		    served == entry->leaving)
 			log_member_state(edge, member);
 	}
 }
 
 /*
- * A node tells its news to some of its region and to a few of each other
- * region; who hears it from another region tells it at home. The reader doesn't
- * pass news on: with 100 neighbours that filled its link of 10 Mbit/s, and what
- * it says of the tables was lost.
+ * A node sends its warmth updates to a part of its region and to a few members
+ * of each other region. A member that receives one from another region relays
+ * it within its own. The region's reader relays nothing: with 100 peers that
+ * filled its link of 10 Mbit/s, and its table digests were lost.
  */
 static enum warm_source update_source(const struct edge *edge,
 				      const struct heartbeat *heartbeat)
@@ -124,7 +126,10 @@
 	}
 }
 
-/* Only the neighbour that this node takes for the reader can vouch. */
+/*
+ * Accepts rows and digests only from the peer that this node takes for its
+ * region's reader.
+ */
 static void apply_digests(struct gossip *gossip,
 			  const struct heartbeat *heartbeat)
 {
@@ -141,7 +146,7 @@
 		sync_vouched(gossip->sync, &heartbeat->digests[i]);
 }
 
-/* Peers use one port everywhere; the sender's own is another for its sends. */
+/* All peers listen on the same port; the datagram's source port may differ. */
 static void report_peer_address(struct gossip *gossip,
 				const struct sockaddr *from)
 {
@@ -152,7 +157,7 @@
 		sync_heard_neighbour(gossip->sync, &neighbour);
 }
 
-/* Whether the loop stood still since it was here last. */
+/* Detects that the loop was stalled since the last callback. */
 static void detect_stall(struct gossip *gossip)
 {
 	uint64_t now_us = edge_now_us(gossip->edge);
@@ -169,7 +174,7 @@
 	struct heartbeat heartbeat;
 
 	detect_stall(gossip);
-	/* Without a sender: the socket is empty. */
+	/* No sender: the socket has been emptied. */
 	if (!from)
 		gossip->socket_stale = false;
 	if (length <= 0 || !from || (flags & UV_UDP_PARTIAL))
@@ -182,9 +187,9 @@
 	apply_pairs_and_loads(gossip->edge, &heartbeat);
 	gossip_apply_updates(gossip, &heartbeat);
 	/*
-	 * The ages of vouches count from their receipt. From before the node
-	 * was suspended, they confirmed routes that had been replaced since,
-	 * and those that were added were denied.
+	 * The ages of digests count from receipt. A node that had been
+	 * suspended applied digests from before: they confirmed routes that had
+	 * been replaced since, and requests of new routes were denied.
 	 */
 	if (!gossip->socket_stale)
 		apply_digests(gossip, &heartbeat);
@@ -200,14 +205,17 @@
 	*buffer = uv_buf_init(bytes, sizeof(bytes));
 }
 
-/* --- beating ------------------------------------------------------------ */
+/* --- sending ------------------------------------------------------------ */
 
 static void heartbeat(struct gossip *gossip)
 {
 	struct edge *edge = gossip->edge;
 	struct member *self = edge->members->self;
 
-	/* Told after the digests, each change would make neighbours call. */
+	/*
+	 * Changes go out before the digests: otherwise each change would make
+	 * the peers' digests differ, and all of them would call the platform.
+	 */
 	gossip_send_changes(gossip);
 	self->heartbeat = gossip->epoch_us + edge_now_us(edge);
 	self->leaving = !edge_is_ready(edge);
@@ -248,7 +256,10 @@
 
 	gossip->edge = edge;
 	gossip->last_turn_us = edge_now_us(edge);
-	/* A restarted node must be heard although its clock began anew. */
+	/*
+	 * Numbers must rise over a restart, or peers would ignore the restarted
+	 * node's heartbeats as old; the loop's clock doesn't.
+	 */
 	gossip->epoch_us = (uint64_t)g_get_real_time() - edge_now_us(edge);
 	uv_ip4_addr(at->address, at->port, &address);
 	uv_udp_init(edge->loop, &gossip->udp);
--- a/packages/edge/gossip.h
+++ b/packages/edge/gossip.h
@@ -1,5 +1,5 @@
 /*
- * gossip - beats between nodes: who lives, what is warm, how loaded
+ * gossip - exchange of heartbeats between nodes: liveness, warm servers, load
  */
 #ifndef EDGE_GOSSIP_H
 #define EDGE_GOSSIP_H
@@ -12,32 +12,45 @@
 
 struct gossip;
 
-/* Listen for beats and send them; NULL with RESULT_SYSTEM on failure. */
+/*
+ * Listens for heartbeats and starts to send them. NULL with RESULT_SYSTEM on
+ * failure.
+ */
 struct gossip *gossip_open(struct edge *edge, GError **error);
-/* The memory may be freed once the loop has turned. */
+/* The caller frees the memory after one more iteration of the event loop. */
 void gossip_close(struct gossip *gossip);
 
-/* What beats bring and take of the platform's tables; see sync.h. */
+/*
+ * Sets where received table digests and rows go, and where those to send come
+ * from (see sync.h). sync may be NULL.
+ */
 void gossip_set_sync(struct gossip *gossip, struct sync *sync);
 
 /*
- * Tell the neighbours which backend servers changed, where this node reads for
- * them; and whom they hear of anyway, with the next beat.
+ * Where this node is its region's reader, sends the changes of backend servers
+ * to the region's peers at once, and otherwise discards them. Also done before
+ * each heartbeat.
  */
 void gossip_send_changes(struct gossip *gossip);
 
 /*
- * Tell all nodes, wherever they are, the words that can't wait for a beat: of
- * suspects, since a node that doesn't know sends such a request to one more
- * server. Told a moment later, together.
+ * Schedules a datagram to all nodes of all regions with the updates that can't
+ * wait for a heartbeat. Of suspects: a node that lacks one sends the request to
+ * one more server. A short delay collects several updates into one datagram.
  */
 void gossip_schedule_broadcast(struct gossip *gossip);
 
-/* Ask a member for a token of the rate of the server of this life. */
+/*
+ * Asks a member for count tokens of the rate of the server with this
+ * incarnation.
+ */
 void gossip_request_tokens(struct gossip *gossip, const struct member *member,
-			   uint32_t life, uint32_t count);
+			   uint32_t incarnation, uint32_t count);
 
-/* Beat now, since something changed that others should know at once. */
+/*
+ * Sends a heartbeat at once, to other regions too, after a change that peers
+ * need immediately.
+ */
 void gossip_send_heartbeat_now(struct gossip *gossip);
 
 #ifdef __cplusplus
--- a/packages/edge/gossip_internal.h
+++ b/packages/edge/gossip_internal.h
@@ -1,5 +1,5 @@
 /*
- * gossip_parts - what the files of gossip share; not for other modules
+ * gossip_internal - shared by the source files of gossip; not for other modules
  */
 #ifndef EDGE_GOSSIP_INTERNAL_H
 #define EDGE_GOSSIP_INTERNAL_H
@@ -14,45 +14,60 @@
 
 struct gossip {
 	struct edge *edge;
-	struct sync *sync; /* NULL: none attached */
+	struct sync *sync; /* NULL: none set */
 	uv_udp_t udp;
 	uv_timer_t timer;
-	uint64_t epoch_us; /* makes numbers rise over restarts */
-	uint64_t last_turn_us; /* the loop was at the socket or timer last */
-	bool socket_stale; /* what waits in the socket may have come long ago */
+	uint64_t epoch_us; /* added to heartbeat numbers, so that they keep
+			      rising over restarts */
+	uint64_t last_turn_us; /* when the loop last ran a callback of the
+				  socket or timer */
+	bool socket_stale; /* the loop was stalled; datagrams in the socket may
+			      be old */
 	uint32_t ticks; /* of the timer */
-	uint32_t rounds; /* beats sent */
-	bool unknown_member; /* a member was heard of that the list didn't name
-			      */
-	uv_timer_t broadcast_timer; /* runs while there are urgent words */
-	uint32_t relay_offset; /* which members were passed on last */
+	uint32_t rounds; /* heartbeats sent to the own region */
+	bool unknown_member; /* a heartbeat named a member that isn't in the
+				member table */
+	uv_timer_t broadcast_timer; /* runs while updates wait for a broadcast
+				     */
+	uint32_t relay_offset; /* position in the member table where relaying
+				  goes on */
 };
 
 /*
- * Whether this tick of the timer sends beats: each
- * GOSSIP_TICKS_PER_HEARTBEAT-th does, and each that has news.
+ * Whether this tick of the timer sends a heartbeat: every
+ * GOSSIP_TICKS_PER_HEARTBEAT-th tick does, and each tick with warmth updates to
+ * send.
  */
 #define GOSSIP_TICKS_PER_HEARTBEAT 4
 bool gossip_is_due(const struct gossip *gossip);
 
 /*
- * Beats without news go to other regions less often, and not each beat passes
- * many lives on: bytes are dear.
+ * A heartbeat without updates goes to other regions, and relays many members,
+ * only once in so many rounds, to save bandwidth.
  */
 #define GOSSIP_ROUNDS_PER_FAR_HEARTBEAT 3
 
-/* gossip_send.c: one beat to the own region, or to a few of each other one. */
+/*
+ * gossip_send.c: sends one heartbeat to peers of the own region, or to a few
+ * members of each other region.
+ */
 void gossip_send_near_heartbeat(struct gossip *gossip);
 void gossip_send_far_heartbeat(struct gossip *gossip);
 
-/* gossip_words.c: words that beats carry, either way. */
+/*
+ * gossip_updates.c: updates of suspects, rates and tokens, sent and received.
+ */
 void gossip_updates_open(struct gossip *gossip);
 void gossip_updates_close(struct gossip *gossip);
 void gossip_send_updates(struct gossip *gossip);
 void gossip_apply_updates(struct gossip *gossip,
 			  const struct heartbeat *heartbeat);
 
-/* gossip_send.c: a beat to one member, to all, or to the usual few of them. */
+/*
+ * gossip_send.c: sends a datagram to one member, to all members, or to the
+ * sample that a heartbeat goes to. gossip_add_sender() adds this node as its
+ * sender, which must come first.
+ */
 void gossip_send_to_one(struct gossip *gossip, const struct member *member,
 			const struct heartbeat *heartbeat);
 void gossip_send_to_all(struct gossip *gossip,
--- a/packages/edge/gossip_send.c
+++ b/packages/edge/gossip_send.c
@@ -6,22 +6,26 @@
 #include "core/duration.h"
 
 /*
- * Where there are more members than the first, each round's beat goes to the
- * region's reader and draws some of the region, and what is heard is passed on.
+ * Up to MAX_FULL_MESH members, each heartbeat goes to all peers of the region.
+ * With more, it goes to the region's reader and about NEAR_PEERS random peers
+ * per round, and members relay each other's heartbeat numbers.
  */
 #define MAX_FULL_MESH 12
 #define NEAR_PEERS 12
 
-/* Members of each other region that a beat goes to; one of them may be dead. */
+/*
+ * Members of each other region that a heartbeat goes to; one of them may be
+ * dead.
+ */
 #define FAR_PEERS 3
 
-/* Lives passed on beside one's own, where they aren't many. */
+/* Members that a short heartbeat relays besides the sender. */
 #define FEW_RELAYED 2
 
 /*
- * Datagrams of changes at one time, of up to 1.4 KB, for each Mbit/s of the
- * link: five times a second they fill nine tenths of it. What would take more
- * isn't told; the neighbours ask for it, since their digests differ.
+ * Limit of datagrams with changes at one time, of up to 1.4 KB each, per Mbit/s
+ * of the link: sent five times a second they fill nine tenths of it. More
+ * changes than that aren't sent; peers request them since their digests differ.
  */
 #define CHANGE_DATAGRAMS_PER_MBPS 16
 
@@ -32,12 +36,12 @@
 
 static void add_member(struct heartbeat *heartbeat, const struct member *member)
 {
-	struct heartbeat_member *life =
+	struct heartbeat_member *entry =
 		&heartbeat->members[heartbeat->member_count++];
 
-	life->member = member->hash;
-	life->number = member->heartbeat;
-	life->leaving = member->leaving;
+	entry->member = member->hash;
+	entry->number = member->heartbeat;
+	entry->leaving = member->leaving;
 }
 
 static void add_members(struct gossip *gossip, struct heartbeat *heartbeat,
@@ -83,45 +87,49 @@
 	}
 }
 
-/* When the server will be warm; 0: it is, or must be by now. */
-static uint16_t ready_ms(const struct warm_news *news, uint64_t now_us)
+/*
+ * Time until the server is warm; 0: it is warm, or its first request must have
+ * ended.
+ */
+static uint16_t ready_ms(const struct warm_news *update, uint64_t now_us)
 {
-	if (news->ready_us <= now_us)
+	if (update->ready_us <= now_us)
 		return 0;
-	return (uint16_t)MIN((news->ready_us - now_us) / US_PER_MS + 1,
+	return (uint16_t)MIN((update->ready_us - now_us) / US_PER_MS + 1,
 			     UINT16_MAX);
 }
 
 /*
- * As many as fit move from the news into the beat. One whose first request must
- * have ended since isn't told: whether it is warm is news of its own.
+ * Moves as many updates as fit into the heartbeat. Drops the announcement of a
+ * first request that must have ended by now: whether the server is warm comes
+ * as an update of its own.
  */
-static void move_updates(GArray *news, struct heartbeat *heartbeat,
+static void move_updates(GArray *updates, struct heartbeat *heartbeat,
 			 uint64_t now_us)
 {
 	guint taken;
 
-	for (taken = 0;
-	     taken < news->len && heartbeat->pair_count < HEARTBEAT_MAX_PAIRS;
+	for (taken = 0; taken < updates->len &&
+			heartbeat->pair_count < HEARTBEAT_MAX_PAIRS;
 	     taken++) {
-		const struct warm_news *one =
-			&g_array_index(news, struct warm_news, taken);
+		const struct warm_news *update =
+			&g_array_index(updates, struct warm_news, taken);
 		struct heartbeat_pair *pair =
 			&heartbeat->pairs[heartbeat->pair_count];
 
-		pair->pair = one->pair;
-		pair->ready_ms = ready_ms(one, now_us);
-		if (!one->ready_us || pair->ready_ms)
+		pair->pair = update->pair;
+		pair->ready_ms = ready_ms(update, now_us);
+		if (!update->ready_us || pair->ready_ms)
 			heartbeat->pair_count++;
 	}
-	g_array_remove_range(news, 0, taken);
+	g_array_remove_range(updates, 0, taken);
 }
 
 static void on_sent(uv_udp_send_t *request, int status)
 {
 	struct datagram *datagram = request->data;
 
-	(void)status; /* a lost beat is made up for by the next */
+	(void)status; /* the next heartbeat makes up for a lost one */
 	g_bytes_unref(datagram->bytes);
 	g_free(datagram);
 }
@@ -156,13 +164,15 @@
 	return member_table_reads(edge->members, edge_now_us(edge));
 }
 
-/* Whether this round's beat goes to the neighbour. */
+/* Whether this round's heartbeat goes to the peer. */
 static bool is_picked(const struct edge *edge, const struct member *member,
 		      const struct member *reader)
 {
 	uint32_t count = member_table_count(edge->members);
 
-	/* Whoever reads for its region is heard by all of it, and hears all. */
+	/*
+	 * The region's reader sends to all of its region and receives from all.
+	 */
 	if (count <= MAX_FULL_MESH || reader == edge->members->self ||
 	    member == reader)
 		return true;
@@ -216,7 +226,7 @@
 	}
 }
 
-/* To a few members of each other region, which pass it on there. */
+/* Sends to a few members of each other region, which relay it there. */
 static void send_far(struct gossip *gossip, const struct heartbeat *heartbeat)
 {
 	GHashTable *sent = g_hash_table_new(g_str_hash, g_str_equal);
@@ -306,7 +316,7 @@
 	send_near(gossip, &heartbeat);
 }
 
-/* How many changes may be told at one time, to so many neighbours. */
+/* Limit of changes sent at one time to so many peers. */
 static guint max_changes(const struct edge *edge, guint neighbours)
 {
 	double datagrams = CHANGE_DATAGRAMS_PER_MBPS * edge->settings.link_mbps;
--- a/packages/edge/gossip_updates.c
+++ b/packages/edge/gossip_updates.c
@@ -8,18 +8,22 @@
 #include "edge/server_limits.h"
 
 /*
- * What breaks off at one server breaks off together; told together, it is one
- * datagram to each node. It is told again after the second of these.
+ * Requests that break off at one server do so together: a short delay sends
+ * their updates as one datagram to each node. RESEND_US later they are
+ * broadcast again.
  */
 #define BATCH_DELAY_US (3 * US_PER_MS)
 #define RESEND_US (40 * US_PER_MS)
 
-/* Of a beat: quarantines are told again and again. */
+/*
+ * Suspects sent with a heartbeat; quarantines are repeated as long as they
+ * last.
+ */
 #define SUSPECTS_PER_HEARTBEAT 4
 
 /*
- * Servers' rates are told again in turn, so many with each seventh beat, for a
- * node may have been cut off.
+ * Servers' rates are repeated in turn, so many with each seventh heartbeat, for
+ * nodes that were partitioned when they were broadcast.
  */
 #define RATES_PER_HEARTBEAT 4
 #define ROUNDS_PER_RATES 7
@@ -84,8 +88,9 @@
 }
 
 /*
- * A node that isn't ready yet may have just started, and knows no quarantine
- * and no server's rate. Told by chance with beats, it would send first.
+ * A node that isn't ready yet may have just started and knows no quarantines
+ * and no rates. With only the random sample of heartbeats it might send
+ * requests before it receives them.
  */
 static void update_starting_node(struct gossip *gossip,
 				 const struct heartbeat *heartbeat)
@@ -110,12 +115,12 @@
 }
 
 void gossip_request_tokens(struct gossip *gossip, const struct member *member,
-			   uint32_t life, uint32_t count)
+			   uint32_t incarnation, uint32_t count)
 {
 	struct heartbeat heartbeat = { .member_count = 0 };
 
 	gossip_add_sender(gossip, &heartbeat);
-	heartbeat.tokens[heartbeat.token_count].incarnation = life;
+	heartbeat.tokens[heartbeat.token_count].incarnation = incarnation;
 	heartbeat.tokens[heartbeat.token_count++].requested = count;
 	gossip_send_to_one(gossip, member, &heartbeat);
 }
@@ -144,8 +149,9 @@
 }
 
 /*
- * Crashes that several nodes saw may add up here first. One of those that saw
- * any writes the row, not each node that hears of all.
+ * Crashes that several nodes saw may add up to a quarantine first at this node.
+ * Only nodes that saw one of the crashes store the row, not each node that
+ * receives the update.
  */
 static void handle_new_quarantine(struct edge *edge,
 				  const struct suspect_word *update)
--- a/packages/edge/heartbeat.c
+++ b/packages/edge/heartbeat.c
@@ -4,20 +4,21 @@
 
 #include "core/duration.h"
 
-/* Format version, so that nodes of two versions ignore each other's news. */
+/* Format version; nodes ignore datagrams of another one. */
 #define HEARTBEAT_VERSION 7
 
 /*
- * A suspect: fingerprint, crashes (life, age, run), quarantines and what is
- * left of the latest, whether it is an operator's, its clearing (if any, and
- * age), and its run (life and time left). Times in ms.
+ * A suspect: fingerprint, crashes (incarnation, age, run time), number of
+ * quarantines and time left of the latest, whether an operator set it, whether
+ * it was cleared and how long ago, and its current run (incarnation and time
+ * left). Times in ms.
  */
 #define SUSPECT_TYPE "(ta(uuu)uubbuuu)"
 
-/* Rates that servers named: life, rate, age in ms. */
+/* Rates of servers: incarnation, rate per second, age in ms. */
 #define RATES_TYPE "a(udu)"
 
-/* Tokens: life, how many are asked for, how many are lent, wait in ms. */
+/* Tokens: incarnation, number requested, number lent, wait in ms. */
 #define TOKENS_TYPE "a(uuuu)"
 
 #define HEARTBEAT_TYPE                                   \
@@ -81,10 +82,10 @@
 
 GBytes *heartbeat_encode(const struct heartbeat *heartbeat)
 {
-	GVariantBuilder lives;
+	GVariantBuilder members;
 	GVariantBuilder pairs;
 	GVariantBuilder loads;
-	GVariantBuilder vouches;
+	GVariantBuilder digests;
 	GVariantBuilder rows;
 	GVariantBuilder suspects;
 	GVariantBuilder rates;
@@ -93,9 +94,9 @@
 	GBytes *bytes;
 	uint32_t i;
 
-	g_variant_builder_init(&lives, G_VARIANT_TYPE("a(utb)"));
+	g_variant_builder_init(&members, G_VARIANT_TYPE("a(utb)"));
 	for (i = 0; i < heartbeat->member_count; i++)
-		g_variant_builder_add(&lives, "(utb)",
+		g_variant_builder_add(&members, "(utb)",
 				      heartbeat->members[i].member,
 				      (guint64)heartbeat->members[i].number,
 				      (gboolean)heartbeat->members[i].leaving);
@@ -110,9 +111,9 @@
 		g_variant_builder_add(&loads, "(uu)",
 				      heartbeat->loads[i].incarnation,
 				      heartbeat->loads[i].in_flight);
-	g_variant_builder_init(&vouches, G_VARIANT_TYPE("a(uttu)"));
+	g_variant_builder_init(&digests, G_VARIANT_TYPE("a(uttu)"));
 	for (i = 0; i < heartbeat->digest_count; i++)
-		g_variant_builder_add(&vouches, "(uttu)",
+		g_variant_builder_add(&digests, "(uttu)",
 				      heartbeat->digests[i].table,
 				      (guint64)heartbeat->digests[i].digest,
 				      (guint64)heartbeat->digests[i].version,
@@ -126,8 +127,8 @@
 	add_rates(&rates, heartbeat);
 	add_tokens(&tokens, heartbeat);
 	variant = g_variant_ref_sink(g_variant_new(
-		HEARTBEAT_TYPE, HEARTBEAT_VERSION, &lives, &pairs, &loads,
-		&vouches, &rows, &suspects, &rates, &tokens));
+		HEARTBEAT_TYPE, HEARTBEAT_VERSION, &members, &pairs, &loads,
+		&digests, &rows, &suspects, &rates, &tokens));
 	bytes = g_variant_get_data_as_bytes(variant);
 	g_variant_unref(variant);
 	return bytes;
@@ -141,12 +142,12 @@
 
 	while (heartbeat->member_count < HEARTBEAT_MAX_MEMBERS &&
 	       g_variant_iter_next(iter, "(utb)", &member, &number, &leaving)) {
-		struct heartbeat_member *life =
+		struct heartbeat_member *entry =
 			&heartbeat->members[heartbeat->member_count++];
 
-		life->member = member;
-		life->number = number;
-		life->leaving = leaving;
+		entry->member = member;
+		entry->number = number;
+		entry->leaving = leaving;
 	}
 }
 
@@ -193,13 +194,13 @@
 	while (heartbeat->digest_count < HEARTBEAT_MAX_DIGESTS &&
 	       g_variant_iter_next(iter, "(uttu)", &table, &digest, &version,
 				   &age_ms)) {
-		struct heartbeat_digest *vouch =
+		struct heartbeat_digest *entry =
 			&heartbeat->digests[heartbeat->digest_count++];
 
-		vouch->table = table;
-		vouch->digest = digest;
-		vouch->version = version;
-		vouch->age_ms = age_ms;
+		entry->table = table;
+		entry->digest = digest;
+		entry->version = version;
+		entry->age_ms = age_ms;
 	}
 }
 
@@ -240,20 +241,24 @@
 		heartbeat->row_count++;
 }
 
-/* More crashes than a node tells are told as one too many: a bad word. */
+/*
+ * More crashes than a node may send are counted as one too many, so that the
+ * update is rejected as invalid.
+ */
 static void read_crashes(GVariantIter *iter, struct suspect_word *update)
 {
-	guint32 life;
+	guint32 incarnation;
 	guint32 age_ms;
 	guint32 ran_ms;
 
 	while (update->crash_count <= SUSPECT_CRASHES_KEPT &&
-	       g_variant_iter_next(iter, "(uuu)", &life, &age_ms, &ran_ms)) {
+	       g_variant_iter_next(iter, "(uuu)", &incarnation, &age_ms,
+				   &ran_ms)) {
 		uint32_t at = update->crash_count++;
 
 		if (at == SUSPECT_CRASHES_KEPT)
 			continue;
-		update->crashes[at].life = life;
+		update->crashes[at].life = incarnation;
 		update->crashes[at].age_us = age_ms * US_PER_MS;
 		update->crashes[at].ran_us = ran_ms * US_PER_MS;
 	}
@@ -293,16 +298,17 @@
 
 static void read_rates(GVariantIter *iter, struct heartbeat *heartbeat)
 {
-	guint32 life;
+	guint32 incarnation;
 	double per_s;
 	guint32 age_ms;
 
 	while (heartbeat->rate_count < HEARTBEAT_MAX_RATES &&
-	       g_variant_iter_next(iter, "(udu)", &life, &per_s, &age_ms)) {
+	       g_variant_iter_next(iter, "(udu)", &incarnation, &per_s,
+				   &age_ms)) {
 		struct rate_word *update =
 			&heartbeat->rates[heartbeat->rate_count++];
 
-		update->life = life;
+		update->life = incarnation;
 		update->per_s = per_s;
 		update->age_us = age_ms * US_PER_MS;
 	}
@@ -310,19 +316,19 @@
 
 static void read_tokens(GVariantIter *iter, struct heartbeat *heartbeat)
 {
-	guint32 life;
-	guint32 asked;
+	guint32 incarnation;
+	guint32 requested;
 	guint32 lent;
 	guint32 wait_ms;
 
 	while (heartbeat->token_count < HEARTBEAT_MAX_TOKENS &&
-	       g_variant_iter_next(iter, "(uuuu)", &life, &asked, &lent,
-				   &wait_ms)) {
+	       g_variant_iter_next(iter, "(uuuu)", &incarnation, &requested,
+				   &lent, &wait_ms)) {
 		struct heartbeat_token *token =
 			&heartbeat->tokens[heartbeat->token_count++];
 
-		token->incarnation = life;
-		token->requested = asked;
+		token->incarnation = incarnation;
+		token->requested = requested;
 		token->lent = lent;
 		token->wait_ms = wait_ms;
 	}
@@ -332,10 +338,10 @@
 		      struct heartbeat *heartbeat)
 {
 	GVariant *variant;
-	GVariantIter *lives;
+	GVariantIter *members;
 	GVariantIter *pairs;
 	GVariantIter *loads;
-	GVariantIter *vouches;
+	GVariantIter *digests;
 	GVariantIter *rows;
 	GVariantIter *suspects;
 	GVariantIter *rates;
@@ -346,7 +352,7 @@
 	memset(heartbeat, 0, sizeof(*heartbeat));
 	if (!length || length > HEARTBEAT_MAX_BYTES)
 		return false;
-	/* GVariant wants its bytes aligned, which a copy of the heap is. */
+	/* GVariant needs aligned bytes; memory of the heap is. */
 	copy = g_memdup2(bytes, length);
 	variant = g_variant_ref_sink(
 		g_variant_new_from_data(G_VARIANT_TYPE(HEARTBEAT_TYPE), copy,
@@ -355,22 +361,22 @@
 		g_variant_unref(variant);
 		return false;
 	}
-	g_variant_get(variant, HEARTBEAT_TYPE, &version, &lives, &pairs, &loads,
-		      &vouches, &rows, &suspects, &rates, &tokens);
+	g_variant_get(variant, HEARTBEAT_TYPE, &version, &members, &pairs,
+		      &loads, &digests, &rows, &suspects, &rates, &tokens);
 	if (version == HEARTBEAT_VERSION) {
-		read_members(lives, heartbeat);
+		read_members(members, heartbeat);
 		read_pairs(pairs, heartbeat);
 		read_loads(loads, heartbeat);
-		read_digests(vouches, heartbeat);
+		read_digests(digests, heartbeat);
 		read_rows(rows, heartbeat);
 		read_suspects(suspects, heartbeat);
 		read_rates(rates, heartbeat);
 		read_tokens(tokens, heartbeat);
 	}
-	g_variant_iter_free(lives);
+	g_variant_iter_free(members);
 	g_variant_iter_free(pairs);
 	g_variant_iter_free(loads);
-	g_variant_iter_free(vouches);
+	g_variant_iter_free(digests);
 	g_variant_iter_free(rows);
 	g_variant_iter_free(suspects);
 	g_variant_iter_free(rates);
--- a/packages/edge/heartbeat.h
+++ b/packages/edge/heartbeat.h
@@ -1,11 +1,12 @@
 /*
- * beat - the datagram that nodes send each other
+ * heartbeat - the datagram that nodes send each other
  *
- * Encoded by GVariant. A beat says that its sender lives, which others it heard
- * lately, which backend servers are warm for which objects, and, to neighbours,
- * how many of its requests are at which. Requests that are suspected of
- * crashing servers, and rates that servers named, are told in beats of their
- * own.
+ * Encoded by GVariant. A heartbeat says that its sender is alive, which other
+ * members are, which backend servers are warm for which objects, and, within a
+ * region, how many of the sender's requests are in flight at which server. The
+ * region's reader adds table digests or changed backend servers. Suspects
+ * (requests that may crash servers), servers' rates and their tokens go in
+ * datagrams of the same format.
  */
 #ifndef EDGE_HEARTBEAT_H
 #define EDGE_HEARTBEAT_H
@@ -25,10 +26,16 @@
 extern "C" {
 #endif
 
-/* Largest beat: one Ethernet frame, so that it is never fragmented. */
+/*
+ * Largest heartbeat: fits into one Ethernet frame, so that it is never
+ * fragmented.
+ */
 #define HEARTBEAT_MAX_BYTES 1400
 
-/* News that fit into one beat beside the rest. */
+/*
+ * Limits of the arrays. Pairs, members, loads and digests fit into one
+ * heartbeat together; so do suspects, rates and tokens. Rows go alone.
+ */
 #define HEARTBEAT_MAX_PAIRS 45
 #define HEARTBEAT_MAX_MEMBERS 16
 #define HEARTBEAT_MAX_LOADS 40
@@ -40,30 +47,30 @@
 
 struct heartbeat_member {
 	uint32_t member; /* hash of its name */
-	uint64_t number; /* rises with each beat of its own */
+	uint64_t number; /* rises with each heartbeat of the member */
 	bool leaving;
 };
 
-/* A server that is warm for an object, or will be in so many ms. */
+/* A server that is warm for an object, or will be. */
 struct heartbeat_pair {
 	struct warm_pair pair;
-	uint16_t ready_ms; /* 0: it is */
+	uint16_t ready_ms; /* time until it is warm; 0: it is */
 };
 
 struct heartbeat_load {
-	uint32_t incarnation; /* hash of its life */
+	uint32_t incarnation; /* of the backend server */
 	uint32_t in_flight;
 };
 
-/* What the reader of a region vouches for: one of the platform's tables. */
+/* State of one of the platform's tables at the region's reader. */
 struct heartbeat_digest {
 	uint32_t table; /* enum registry_table */
-	uint64_t digest; /* of what it believes */
-	uint64_t version; /* of the platform's newest row in that */
+	uint64_t digest; /* of the reader's copy */
+	uint64_t version; /* of the platform's newest row in it */
 	uint32_t age_ms; /* since the platform last confirmed it */
 };
 
-/* A backend server that changed; the service is empty where it left. */
+/* A backend server that changed; the service is empty where it was removed. */
 struct heartbeat_row {
 	char id[NAME_SIZE];
 	char service[NAME_SIZE];
@@ -72,21 +79,23 @@
 	uint32_t slots;
 	bool draining;
 	uint32_t cold_left_ms;
-	uint64_t started_ms; /* of its life; 0: not said */
+	uint64_t started_ms; /* start time, part of the incarnation; 0: unknown
+			      */
 	uint64_t version; /* of its row in the platform's table */
 };
 
-/* Tokens of a server's rate: asked for, or the answer to that. */
+/* Tokens of a server's rate: a request for some, or the answer to one. */
 struct heartbeat_token {
 	uint32_t incarnation; /* of the server */
-	uint32_t requested; /* how many; 0: an answer */
-	uint32_t lent; /* of an answer */
-	uint32_t wait_ms; /* of an answer without: until there may be one */
+	uint32_t requested; /* number of tokens; 0: this is an answer */
+	uint32_t lent; /* in an answer: number of tokens */
+	uint32_t wait_ms; /* in an answer without tokens: time until there may
+			     be one */
 };
 
 struct heartbeat {
-	struct heartbeat_member members[HEARTBEAT_MAX_MEMBERS]; /* the sender's
-								   own first */
+	struct heartbeat_member members[HEARTBEAT_MAX_MEMBERS]; /* the sender
+								   first */
 	uint32_t member_count;
 	struct heartbeat_pair pairs[HEARTBEAT_MAX_PAIRS];
 	uint32_t pair_count;
@@ -104,16 +113,16 @@
 	uint32_t token_count;
 };
 
-/* One row in GVariant's words, for whatever carries rows between nodes. */
+/* GVariant format of a row, also used by snapshots. */
 #define HEARTBEAT_ROW_TYPE "(ssssqubutt)"
 void heartbeat_row_add(GVariantBuilder *rows, const struct heartbeat_row *row);
-/* The next row; false at the end. */
+/* Reads the next row; false at the end. */
 bool heartbeat_row_next(GVariantIter *iter, struct heartbeat_row *row);
 
-/* The bytes, for g_bytes_unref(). */
+/* Returns the encoded bytes, for g_bytes_unref(). */
 GBytes *heartbeat_encode(const struct heartbeat *heartbeat);
 
-/* False where the bytes are no beat of this version. */
+/* False where the bytes aren't a heartbeat of this version. */
 bool heartbeat_decode(const void *bytes, size_t length,
 		      struct heartbeat *heartbeat);
 
--- a/packages/edge/lane.c
+++ b/packages/edge/lane.c
@@ -6,21 +6,21 @@
 
 #define MAX_HEAD_BYTES (64 * 1024)
 
-/* Largest answer: a page of 500 rows, or the row of all routes in base64. */
+/* Largest body: a page of 500 rows, or the row of all routes in base64. */
 #define MAX_BODY_BYTES (16 * 1024 * 1024)
 
 /*
- * An answer that is arriving counts as lost after so long without a byte: a
- * path of a continent's width whose packet is sent again takes a third of it.
+ * An answer that is arriving counts as lost after so long without a byte: on a
+ * path across a continent the retransmission of a packet takes a third of it.
  */
 #define RECEIVE_TIMEOUT_US (1000 * US_PER_MS)
 
-/* One turn of the loop, in which sockets are read. */
+/* One iteration of the loop, in which sockets are read. */
 #define LAST_READ_MS 1
 
 struct lane_conn {
-	struct link link; /* first member */
-	struct lane *lane; /* NULL once the lane has let go of it */
+	struct link link; /* must be the first member */
+	struct lane *lane; /* NULL after detach_connection() */
 };
 
 static void detach_connection(struct lane *lane)
@@ -61,10 +61,10 @@
 }
 
 /*
- * The loop runs timers before it reads. A process that stood still, because it
- * decoded a large document or was off the processor, finds the time over while
- * the answer's bytes lie in its socket: given up, they would be asked for again
- * from the first. So it reads once more before it gives up.
+ * The loop runs timers before it reads. After a stall (it decoded a large
+ * document, or the process didn't get the CPU) the timeout has expired while
+ * the answer's bytes lie in the socket; aborted, all of them would have to be
+ * sent again. So it reads once more before it aborts.
  */
 static void on_timeout(uv_timer_t *timer)
 {
--- a/packages/edge/link.c
+++ b/packages/edge/link.c
@@ -72,7 +72,9 @@
 		feed(link, buffer->base, (size_t)count);
 		return;
 	}
-	/* Without a length, an answer is whole where its connection ends. */
+	/*
+	 * An answer without a length is complete at the end of the connection.
+	 */
 	if (count == UV_EOF && whole_at_end)
 		feed(link, NULL, 0);
 	if (!link->closing)
--- a/packages/edge/link.h
+++ b/packages/edge/link.h
@@ -1,9 +1,9 @@
 /*
  * link - an outgoing HTTP/1.1 connection on the event loop
  *
- * One request at a time. The owner embeds the link and hears of it through its
- * vtable; it sets time-outs itself. After link_close() no event comes but
- * released, where the owner frees its memory.
+ * One request at a time. The owner embeds the link, gets its events by the
+ * vtable and sets timeouts itself. After link_close() or link_reset() the only
+ * event is released, where the owner frees the memory.
  */
 #ifndef EDGE_LINK_H
 #define EDGE_LINK_H
@@ -20,19 +20,19 @@
 
 struct link;
 
-/* Why a connection ended: the answer's body is over the limit. */
+/* Cause of an end: the answer's body is over the limit. */
 #define LINK_TOO_LARGE "answer too large"
 
 struct link_vtable {
 	void (*opened)(struct link *link);
-	/* Bytes of the answer that is due have come; may be NULL. */
+	/* Bytes of the awaited answer were received. May be NULL. */
 	void (*progressed)(struct link *link);
 	/*
-	 * A whole answer, which the owner frees. Where it is another request's,
-	 * the owner sets awaiting to go on reading.
+	 * A complete answer, which the owner frees. Where it belongs to another
+	 * request, the owner sets awaiting to read on.
 	 */
 	void (*answered)(struct link *link, struct message *answer);
-	/* The connection failed, ended, or brought what is no answer. */
+	/* The connection failed, was closed, or received an invalid answer. */
 	void (*ended)(struct link *link, const char *cause);
 	void (*released)(struct link *link);
 };
@@ -44,23 +44,29 @@
 	struct message_reader reader;
 	bool open; /* connected */
 	bool closing;
-	bool awaiting; /* an answer is due */
-	bool writing; /* part of a request isn't out yet */
-	bool extra_bytes; /* bytes came after the answer: don't use it again */
-	uint64_t got_bytes; /* of the answer that is due, so far */
+	bool awaiting; /* a request was sent and its answer isn't complete */
+	bool writing; /* a request isn't written completely */
+	bool extra_bytes; /* bytes followed the answer: don't reuse the
+			     connection */
+	uint64_t got_bytes; /* received of the awaited answer */
 };
 
-/* Start to connect; ended() tells of a failure. 0 or a libuv error. */
+/* Starts to connect; failures come by ended(). 0 or a libuv error. */
 int link_open(struct link *link, const struct link_vtable *vtable,
 	      uv_loop_t *loop, const struct endpoint *to,
 	      const struct message_limits *limits);
 
-/* Send a request, taking its text over. */
+/*
+ * Sends a request and takes ownership of its text. is_head: the method is HEAD.
+ */
 void link_send(struct link *link, GString *request, bool is_head);
 
 void link_close(struct link *link);
 
-/* Cut the connection so that the other side sees it at once. */
+/*
+ * Closes the connection with a TCP reset, so that the other side sees it at
+ * once.
+ */
 void link_reset(struct link *link);
 
 #ifdef __cplusplus
--- a/packages/edge/local.c
+++ b/packages/edge/local.c
@@ -8,7 +8,7 @@
 #include "edge/snapshot.h"
 #include "edge/sync.h"
 
-/* Nodes that one look-up names at most. */
+/* Maximum number of nodes in the answer to a look-up. */
 #define LOOKUP_MAX_NODES 64
 
 static bool path_is(const struct message *request, const char *path)
@@ -19,7 +19,7 @@
 	       !strncmp(request->target->str, path, length);
 }
 
-/* Value of a parameter of the query, for g_free(); NULL if there is none. */
+/* Value of a query parameter, for g_free(); NULL if it is missing. */
 static char *parameter(const struct message *request, const char *name)
 {
 	const char *query = strchr(request->target->str, '?');
--- a/packages/edge/local.h
+++ b/packages/edge/local.h
@@ -1,5 +1,6 @@
 /*
- * local - what a node answers by itself: readiness, look-ups, metrics
+ * local - requests that a node answers by itself: readiness, look-ups of nodes,
+ * metrics, operators' commands, snapshots for peers
  */
 #ifndef EDGE_LOCAL_H
 #define EDGE_LOCAL_H
--- a/packages/edge/snapshot.c
+++ b/packages/edge/snapshot.c
@@ -96,7 +96,7 @@
 
 	if (!length)
 		return false;
-	/* GVariant wants its bytes aligned, which a copy of the heap is. */
+	/* GVariant needs aligned bytes; memory of the heap is. */
 	copy = g_memdup2(bytes, length);
 	variant = g_variant_ref_sink(
 		g_variant_new_from_data(G_VARIANT_TYPE(SNAPSHOT_TYPE), copy,
--- a/packages/edge/snapshot.h
+++ b/packages/edge/snapshot.h
@@ -1,13 +1,12 @@
 /*
- * snapshot - what a node knows of the platform's tables, for a neighbour
+ * snapshot - a node's copy of the platform's tables, encoded for a peer
  *
- * A node that starts, or whose rows differ from its region's reader's, has them
- * from a neighbour where it can, so that the platform isn't asked for the same
- * by each. Each table comes whole, with the platform's version and how long ago
- * the platform confirmed it. Backend servers come as what is believed of them,
- * in the form in which beats tell of changes; of those whose entries are
- * missing, and which may be back in a moment, only the ids. Encoded by
- * GVariant.
+ * A node that starts, or whose tables differ from its region's reader's, loads
+ * them from a peer where it can, so that not every node reads them from the
+ * platform. Each table is complete, with the platform's version and the time
+ * since the platform confirmed it. Backend servers have the format that
+ * heartbeats use for changes. Of those whose entries expired, and which may
+ * come back shortly, there are only the ids. Encoded by GVariant.
  */
 #ifndef EDGE_SNAPSHOT_H
 #define EDGE_SNAPSHOT_H
@@ -24,8 +23,8 @@
 #endif
 
 /*
- * Where neighbours ask for it, on the peer address. The parameter is a sum of
- * SNAPSHOT_TABLE(), and all tables where it is missing.
+ * Path on the peer address. The parameter is a sum of SNAPSHOT_TABLE(); all
+ * tables where it is missing.
  */
 #define SNAPSHOT_PATH "/v1/snapshot"
 #define SNAPSHOT_PARAMETER "tables"
@@ -36,16 +35,20 @@
 struct snapshot_table {
 	uint32_t table; /* enum registry_table */
 	uint64_t version; /* of the platform's newest row in it */
-	uint32_t age_ms; /* since the platform confirmed it, at most */
+	uint32_t age_ms; /* upper bound of the time since the platform confirmed
+			    it */
 };
 
 struct snapshot_row {
 	uint32_t table; /* enum registry_table */
 	const char *key;
-	const char *value; /* as the registry decodes it */
+	const char *value; /* decoded by the registry */
 };
 
-/* The tables come first, then rows, then backend servers. */
+/*
+ * Called in this order: all tables, all rows, all backend servers, the ids of
+ * all expired entries.
+ */
 struct snapshot_visitor {
 	void (*table)(void *context, const struct snapshot_table *table);
 	void (*row)(void *context, const struct snapshot_row *row);
@@ -68,10 +71,13 @@
 void snapshot_add_backend(struct snapshot_writer *writer,
 			  const struct heartbeat_row *backend);
 void snapshot_add_expired(struct snapshot_writer *writer, const char *id);
-/* The bytes, for g_bytes_unref(). */
+/* Returns the encoded bytes, for g_bytes_unref(). */
 GBytes *snapshot_end(struct snapshot_writer *writer);
 
-/* Visit all of it; false, and nothing visited, where it is no snapshot. */
+/*
+ * Visits all of it. False, with nothing visited, where the bytes aren't a valid
+ * snapshot.
+ */
 bool snapshot_read(const void *bytes, size_t length,
 		   const struct snapshot_visitor *visitor, void *context);
 
--- a/packages/edge/wire.c
+++ b/packages/edge/wire.c
@@ -1,6 +1,6 @@
 #include "edge/wire.h"
 
-/* Most that one read brings: several requests or a large part of an answer. */
+/* Maximum of one read: several requests, or a large part of an answer. */
 #define READ_BYTES (32 * 1024)
 
 struct write_request {
--- a/packages/edge/wire.h
+++ b/packages/edge/wire.h
@@ -1,5 +1,5 @@
 /*
- * wire - reading and writing on streams of the event loop
+ * wire - reading from and writing to streams of the event loop
  */
 #ifndef EDGE_WIRE_H
 #define EDGE_WIRE_H
@@ -11,14 +11,18 @@
 extern "C" {
 #endif
 
-/* The loop reads into one buffer, which is free again after each read. */
+/*
+ * Allocation callback of uv_read_start(): one static buffer for all streams,
+ * valid during the read callback only.
+ */
 void wire_buffer(uv_handle_t *handle, size_t suggested, uv_buf_t *buffer);
 
 typedef void (*wire_written)(void *context, int status);
 
 /*
- * Write the text, taking it over. written (may be NULL) is called once, later;
- * context must live until then, or until the stream is released.
+ * Writes the text and takes ownership of it. written (may be NULL) is called
+ * once, at once where the write can't start; context must live until then, or
+ * until the stream's close callback.
  */
 void wire_write(uv_stream_t *stream, GString *text, wire_written written,
 		void *context);
--- a/tests/edge/gossip_test.cc
+++ b/tests/edge/gossip_test.cc
@@ -1,4 +1,4 @@
-/* Beats of a node as a neighbour hears them, and what it takes from others. */
+/* Heartbeats of a node as a peer receives them, and what the node applies. */
 #include <arpa/inet.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -20,7 +20,7 @@
 namespace
 {
 
-/* A neighbour that keeps all beats in the order in which they come. */
+/* A peer that keeps all heartbeats in the order in which they arrive. */
 class GossipTest : public EdgeWorld
 {
       protected:
@@ -34,7 +34,7 @@
 		EdgeWorld::TearDown();
 		close(socket_);
 	}
-	/* The node reads for its region; the neighbour is its only other. */
+	/* The node reads for its region; the peer is the only other member. */
 	void start_with_peer()
 	{
 		struct endpoint free_port;
@@ -82,7 +82,10 @@
 		send_datagram(std::string(data, length));
 		g_bytes_unref(bytes);
 	}
-	/* The neighbour reads for the region, and knows what the node does. */
+	/*
+	 * A heartbeat of the peer as the region's reader, with the node's own
+	 * digests.
+	 */
 	struct heartbeat heartbeat_of_reader()
 	{
 		struct heartbeat heartbeat = {};
@@ -138,10 +141,10 @@
 };
 
 /*
- * A node is suspended for seconds. When it goes on, the beats that came in the
- * meantime wait in its socket, and say how long before their sending the
- * reader's tables were confirmed. Taken for new, they confirmed routes that had
- * been replaced long ago, and callers of new routes got a final 404.
+ * A node is suspended for seconds. When it resumes, the heartbeats that came in
+ * the meantime wait in its socket with ages that count from their sending.
+ * Applied as new, they confirmed routes that had been replaced, and callers of
+ * new routes got a final 404.
  */
 TEST_F(GossipTest, QueuedHeartbeatsOfASuspendedNodeConfirmNothing)
 {
@@ -159,9 +162,9 @@
 }
 
 /*
- * A server begins to drain. The reader's beat with the new digest came to the
- * region's nodes before the row did, so each of them called the store for what
- * it was about to be told.
+ * A server begins to drain. When the reader's heartbeat with the new digest
+ * arrives before the row, each node of the region calls the store for a change
+ * that is on its way.
  */
 TEST_F(GossipTest, ChangesAreSentBeforeTheirDigests)
 {
@@ -192,8 +195,8 @@
 }
 
 /*
- * A failure domain's servers come back together. More changes than one beat
- * holds were told by none, and all nodes read the table for themselves.
+ * A failure domain's servers come back together. When more changes than one
+ * heartbeat holds are not sent, all nodes read the table themselves.
  */
 TEST_F(GossipTest, ManyChangesAtOnceAreAllSent)
 {
@@ -211,9 +214,9 @@
 }
 
 /*
- * Another region's node tells three nodes of each region what is warm. One that
- * hears it tells the others at home; of its own region's news it tells nobody,
- * or each pair would go round for ever.
+ * Another region's node sends warmth updates to three members of each region. A
+ * member that receives one relays it within its region. It must not relay
+ * updates of its own region, or each pair would circulate for ever.
  */
 TEST_F(GossipTest, OnlyUpdatesOfOtherRegionsAreRelayed)
 {
@@ -244,8 +247,9 @@
 }
 
 /*
- * An object ran cold at a server. Until the neighbours know, each of them has
- * it run cold once more: they wait for the next beat, or a quarter of that.
+ * An object had a cold run at a server. Until the peers know, each of them
+ * causes another one: updates must not wait for the next heartbeat, but at most
+ * a quarter of its interval.
  */
 TEST_F(GossipTest, UpdatesDontWaitForTheNextHeartbeat)
 {
@@ -263,8 +267,8 @@
 }
 
 /*
- * A neighbour runs a first request for an object. This node must hear of it
- * before the run ends, or it would have the object run cold a second time.
+ * A peer runs a first request for an object. This node must know before the run
+ * ends, or it would cause a second cold run.
  */
 TEST_F(GossipTest, ServerAboutToBeWarmIsAnnounced)
 {
@@ -273,7 +277,10 @@
 	start_with_peer();
 	warmth_begin(&edge->warmth, { 5, 6 }, WARM_OWN,
 		     edge_now_us(edge) + 5 * US_PER_S, edge_now_us(edge));
-	/* Its run must have ended; whether it warmed is told apart. */
+	/*
+	 * Its run must have ended; whether the server is warm is sent
+	 * separately.
+	 */
 	warmth_begin(&edge->warmth, { 5, 7 }, WARM_OWN, edge_now_us(edge),
 		     edge_now_us(edge));
 	wait_for([&] {
@@ -297,7 +304,10 @@
 	EXPECT_FALSE(warmth_has(&edge->warmth, { 11, 22 }));
 }
 
-/* A start of all: more news than one beat holds go out in the next ones. */
+/*
+ * After a start of all nodes, more updates than one heartbeat holds go out in
+ * the next ones.
+ */
 TEST_F(GossipTest, UpdatesThatDontFitAreSentLater)
 {
 	std::set<uint32_t> received;
@@ -316,9 +326,10 @@
 }
 
 /*
- * Thousands of servers start together with a hundred nodes. The reader told
- * each change to each neighbour, its link was full for seconds, and changes
- * that mattered came late. A flood is left to each node's own call.
+ * Thousands of servers start together with a hundred nodes. When the reader
+ * sends each change to each peer, its link is full for seconds and important
+ * changes come late. Above a limit each node has to read the changes by its own
+ * call.
  */
 TEST_F(GossipTest, TooManyChangesAreNotSent)
 {
@@ -348,7 +359,7 @@
 	EXPECT_GE((size_t)HEARTBEAT_MAX_ROWS, sent_rows().size());
 }
 
-/* What the list held when it was first read is no change. */
+/* Rows of the first read of the table are no changes. */
 TEST_F(GossipTest, FirstReadOfTheTableSendsNoChanges)
 {
 	for (int i = 0; i < 5; i++)
@@ -359,7 +370,9 @@
 	EXPECT_TRUE(sent_rows().empty());
 }
 
-/* A node that the list doesn't name is heard: the reader looks for its row. */
+/*
+ * A heartbeat of a node that isn't in the table: the reader reads the members.
+ */
 TEST_F(GossipTest, UnknownNodeMakesTheReaderReadMembers)
 {
 	struct heartbeat heartbeat = {};
@@ -376,7 +389,7 @@
 	});
 }
 
-/* Spoiled datagrams, and ones of other programs, change nothing. */
+/* Corrupted datagrams, and ones of other programs, change nothing. */
 TEST_F(GossipTest, InvalidDatagramsChangeNothing)
 {
 	add_app("i-1");
@@ -391,7 +404,10 @@
 	EXPECT_EQ(200, status_of(answer_to(get("a1", "/r/"))));
 }
 
-/* Guards against a node that isn't told giving a deadly request three more. */
+/*
+ * Without the update, a node would send a request that crashes servers to three
+ * more.
+ */
 TEST_F(GossipTest, QuarantineOfAPeerIsApplied)
 {
 	const struct fingerprint_parts parts = { "GET",	  "h.example", "/r/x",
@@ -416,7 +432,10 @@
 	EXPECT_EQ(0u, app_stand_runs(apps[0].stand, "a1"));
 }
 
-/* Guards against crashes seen at three nodes being kept by none of them. */
+/*
+ * Crashes seen at three nodes add up to a quarantine that none of them saw
+ * alone: it must be stored nevertheless.
+ */
 TEST_F(GossipTest, QuarantineFromCombinedCrashesIsStored)
 {
 	App &app = add_app("i-1");
@@ -447,7 +466,7 @@
 	g_free(quarantines);
 }
 
-/* Guards against a node that has just started knowing no quarantine. */
+/* A node that has just started must receive the quarantines. */
 TEST_F(GossipTest, StartingNodeReceivesQuarantines)
 {
 	struct heartbeat heartbeat = {};
@@ -465,7 +484,7 @@
 	EXPECT_EQ(7u, heartbeats.back().suspects[0].fingerprint);
 }
 
-/* Guards against neighbours that hear too late of a server that ended. */
+/* Peers must learn of a crashed server before the next heartbeat. */
 TEST_F(GossipTest, CrashWhileRunningARequestIsBroadcast)
 {
 	App &app = add_app("i-1");
@@ -482,7 +501,7 @@
 		  heartbeats.back().suspects[0].crashes[0].age_us);
 }
 
-/* A node that is no sender of a server's rate, and a neighbour that is one. */
+/* A node that is no quota holder of a server's rate, and a peer that is one. */
 class TokenTest : public GossipTest
 {
       protected:
@@ -503,7 +522,7 @@
 		ASSERT_TRUE(server_limits_take(edge, &update));
 		ASSERT_DOUBLE_EQ(0, backend->limit.part_per_s);
 	}
-	/* The node's question for a token reaches the neighbour. */
+	/* Whether the node's request for a token reached the peer. */
 	bool token_was_requested()
 	{
 		receive();
@@ -532,7 +551,10 @@
 	uint64_t number = 1;
 
       private:
-	/* One that comes before the node itself for this server. */
+	/*
+	 * A hash that is preferred to the node's own as a holder for this
+	 * server.
+	 */
 	uint32_t hash_before(uint32_t from)
 	{
 		uint64_t own =
@@ -576,7 +598,9 @@
 	EXPECT_EQ(0u, app_stand_total_runs(app->stand));
 }
 
-/* Tokens that nobody was asked for, or that come twice, let nothing through. */
+/*
+ * Tokens that weren't requested, or that arrive twice, let no request through.
+ */
 TEST_F(TokenTest, UnrequestedTokenIsIgnored)
 {
 	start_beside_holder();
--- a/tests/edge/heartbeat_test.cc
+++ b/tests/edge/heartbeat_test.cc
@@ -1,4 +1,6 @@
-/* Datagrams between nodes: they come whole, cut, spoiled, or from elsewhere. */
+/*
+ * Datagrams between nodes: complete, truncated, corrupted, or from elsewhere.
+ */
 #include <gtest/gtest.h>
 
 #include <cstring>
@@ -82,7 +84,7 @@
 	EXPECT_EQ(1777081648001u, got.rows[1].started_ms);
 }
 
-/* The fullest beat that a node makes still fits into one frame. */
+/* The largest heartbeat that a node sends still fits into one frame. */
 TEST(HeartbeatTest, FullHeartbeatFitsIntoAFrame)
 {
 	struct heartbeat heartbeat = {};
@@ -94,7 +96,7 @@
 	EXPECT_LE(encode(heartbeat).size(), (size_t)HEARTBEAT_MAX_BYTES);
 }
 
-/* The words that go to all at once, as many as one datagram may hold. */
+/* Updates that are broadcast: as many as one datagram may hold. */
 TEST(HeartbeatTest, FullUpdatesFitIntoAFrame)
 {
 	struct heartbeat heartbeat = {};
--- a/tests/edge/lane_test.cc
+++ b/tests/edge/lane_test.cc
@@ -1,4 +1,4 @@
-/* Calls on a lane, against a server whose answers come as a test says. */
+/* Calls on a lane to a server whose answers arrive slowly. */
 #include "edge/lane.h"
 
 #include "edge/large_document.h"
@@ -7,9 +7,10 @@
 {
 
 /*
- * An answer trickles, a few bytes at a time: it is never silent and would never
- * be whole. The lane's owner waited for it for good, while a call on a new
- * connection would have been answered at once.
+ * An answer arrives a few bytes at a time: the receive timeout never expires,
+ * and the answer is never complete. Without a maximum transfer time the lane's
+ * owner waited for ever, while a call on a new connection would have been
+ * answered at once.
  */
 class LaneTest : public LargeDocumentTest
 {
@@ -30,8 +31,8 @@
 
 struct transfer_case {
 	const char *name;
-	uint64_t max_transfer_ms; /* that an answer may arrive */
-	bool whole; /* one that takes 2.5 s */
+	uint64_t max_transfer_ms; /* maximum transfer time */
+	bool whole; /* whether an answer that takes 2.5 s is delivered */
 };
 
 const transfer_case transfer_cases[] = {
--- a/tests/edge/link_fault_test.cc
+++ b/tests/edge/link_fault_test.cc
@@ -1,4 +1,4 @@
-/* Links to backend servers and to the store that are harmed on the way. */
+/* Faults on connections to backend servers. */
 #include "core/duration.h"
 #include "edge/edge_world.h"
 #include "standins/relay.h"
@@ -6,7 +6,7 @@
 namespace
 {
 
-/* One server behind a relay, another one without. */
+/* A server behind a relay that injects faults. */
 class LinkFaultTest : public EdgeWorld
 {
       protected:
@@ -41,14 +41,14 @@
 	const char *name;
 	const char *story;
 	enum relay_harm harm;
-	const char *path; /* "/r/" may run twice, "/o/" once at most */
-	int first; /* of the request that meets the harm */
-	int next; /* of the one after it, the link whole again */
+	const char *path; /* "/r/" may run twice, "/o/" at most once */
+	int first; /* status of the request that meets the fault */
+	int next; /* status of the next request, without the fault */
 };
 
 /*
- * A request has used the connection; the harm strikes while it rests, and then
- * the next request comes.
+ * A request has used the connection. The fault occurs while the connection is
+ * idle, and then the next request comes.
  */
 const fault_case fault_cases[] = {
 	{ "Delayed", "late, and whole", RELAY_DELAY, "/r/", 200, 200 },
@@ -83,7 +83,7 @@
 	std::string first = answer_to(get("a1", c.path, more));
 	EXPECT_EQ(c.first, status_of(first)) << first;
 	relay_set(relay, RELAY_PASS);
-	/* A server that failed may be left alone for a moment. */
+	/* A server that failed may get no requests for a moment. */
 	wait_for([&] {
 		static int number = 0;
 		std::string id = "b" + std::to_string(number++);
@@ -97,11 +97,12 @@
 			 ::testing::ValuesIn(fault_cases),
 			 [](const auto &info) { return info.param.name; });
 
-/* The answer comes whole, and no faster than the link brings it. */
+/* The answer is complete, and no faster than the link's rate allows. */
 TEST_F(LinkFaultTest, NarrowLinkLimitsThroughput)
 {
 	const uint64_t bytes_per_s = 1000;
-	const uint64_t least_bytes = 60; /* of an answer with its headers */
+	const uint64_t least_bytes = 60; /* size of an answer with its headers
+					  */
 
 	relay_narrow(relay, bytes_per_s);
 	uint64_t begin_us = edge_now_us(edge);
@@ -113,8 +114,9 @@
 }
 
 /*
- * A middlebox forgets all connections of a quiet spell. The first request finds
- * out by its time; each other kept connection cost one more caller the same.
+ * A middlebox drops the state of all connections after an idle period. The
+ * first request times out; its timeout must close the other kept connections,
+ * or each of them would cost one more caller the same.
  */
 TEST_F(LinkFaultTest, OneDeadConnectionClosesTheOthers)
 {
