--- a/tests/edge/lane_test.cc
+++ b/tests/edge/lane_test.cc
@@ -21,18 +21,18 @@
 		auto *test = (LaneTest *)context;
 
 		test->done = true;
-		test->whole = answer != nullptr;
+		test->complete = answer != nullptr;
 		test->cause = cause ? cause : "";
 	}
 	bool done = false;
-	bool whole = false;
+	bool complete = false;
 	std::string cause;
 };
 
 struct transfer_case {
 	const char *name;
 	uint64_t max_transfer_ms; /* maximum transfer time */
-	bool whole; /* whether an answer that takes 2.5 s is delivered */
+	bool complete; /* whether an answer that takes 2.5 s is delivered */
 };
 
 const transfer_case transfer_cases[] = {
@@ -59,8 +59,8 @@
 	lane_call(&lane, "GET", "/api/rows-get?table=op&part=&limit=500",
 		  nullptr, 1000000, on_done, this);
 	wait_for([this] { return done; });
-	EXPECT_EQ(c.whole, whole);
-	if (!c.whole) {
+	EXPECT_EQ(c.complete, complete);
+	if (!c.complete) {
 		EXPECT_EQ("timeout", cause);
 		EXPECT_LT((uv_hrtime() - begun_ns) / 1000000,
 			  c.max_transfer_ms + 500);
--- a/tests/edge/link_fault_test.cc
+++ b/tests/edge/link_fault_test.cc
@@ -39,11 +39,11 @@
 
 struct fault_case {
 	const char *name;
-	const char *story;
-	enum relay_harm harm;
+	const char *description;
+	enum relay_harm fault;
 	const char *path; /* "/r/" may run twice, "/o/" at most once */
-	int first; /* status of the request that meets the fault */
-	int next; /* status of the next request, without the fault */
+	int faulted_status; /* status of the request that meets the fault */
+	int next_status; /* status of the next request, without the fault */
 };
 
 /*
@@ -76,19 +76,20 @@
 	const fault_case &c = GetParam();
 	std::string more = "Lilacfield-Deadline-Ms: 900\r\n";
 
-	SCOPED_TRACE(c.story);
+	SCOPED_TRACE(c.description);
 	EXPECT_EQ(200, status_of(answer_to(get("a0", c.path))));
-	relay_set(relay, c.harm);
+	relay_set(relay, c.fault);
 	turn_for(50);
-	std::string first = answer_to(get("a1", c.path, more));
-	EXPECT_EQ(c.first, status_of(first)) << first;
+	std::string faulted_status = answer_to(get("a1", c.path, more));
+	EXPECT_EQ(c.faulted_status, status_of(faulted_status))
+		<< faulted_status;
 	relay_set(relay, RELAY_PASS);
 	/* A server that failed may get no requests for a moment. */
 	wait_for([&] {
 		static int number = 0;
 		std::string id = "b" + std::to_string(number++);
 
-		return status_of(answer_to(get(id, c.path))) == c.next;
+		return status_of(answer_to(get(id, c.path))) == c.next_status;
 	});
 	EXPECT_GE(1u, app_stand_runs(apps[0].stand, "a1"));
 }
@@ -101,14 +102,14 @@
 TEST_F(LinkFaultTest, NarrowLinkLimitsThroughput)
 {
 	const uint64_t bytes_per_s = 1000;
-	const uint64_t least_bytes = 60; /* size of an answer with its headers
-					  */
+	const uint64_t min_bytes = 60; /* size of an answer with its headers
+					*/
 
 	relay_narrow(relay, bytes_per_s);
 	uint64_t begin_us = edge_now_us(edge);
 	EXPECT_EQ(200, status_of(answer_to(get("a0", "/r/"))));
 	EXPECT_GE(edge_now_us(edge) - begin_us,
-		  least_bytes * US_PER_S / bytes_per_s);
+		  min_bytes * US_PER_S / bytes_per_s);
 	relay_set(relay, RELAY_PASS);
 	EXPECT_EQ(200, status_of(answer_to(get("a1", "/r/"))));
 }
