--- a/packages/edge/gossip.c
+++ b/packages/edge/gossip.c
@@ -65,8 +65,9 @@
 /*
  * A node sends its warmth updates to a part of its region and to a few members
  * of each other region. A member that receives one from another region relays
- * it within its own. The region's reader relays nothing: with 100 peers that
- * filled its link of 10 Mbit/s, and its table digests were lost.
+ * it within its own. Updates of the own region aren't relayed, by its reader
+ * neither: with 100 peers that filled the reader's link of 10 Mbit/s, and its
+ * table digests were lost.
  */
 static enum warm_source update_source(const struct edge *edge,
 				      const struct heartbeat *heartbeat)
@@ -150,11 +151,11 @@
 static void report_peer_address(struct gossip *gossip,
 				const struct sockaddr *from)
 {
-	struct endpoint neighbour = { .port = gossip->edge->settings.peer.port };
+	struct endpoint peer = { .port = gossip->edge->settings.peer.port };
 
-	if (!uv_ip4_name((const struct sockaddr_in *)from, neighbour.address,
-			 sizeof(neighbour.address)))
-		sync_heard_neighbour(gossip->sync, &neighbour);
+	if (!uv_ip4_name((const struct sockaddr_in *)from, peer.address,
+			 sizeof(peer.address)))
+		sync_heard_neighbour(gossip->sync, &peer);
 }
 
 /* Detects that the loop was stalled since the last callback. */
@@ -189,7 +190,7 @@
 	/*
 	 * The ages of digests count from receipt. A node that had been
 	 * suspended applied digests from before: they confirmed routes that had
-	 * been replaced since, and requests of new routes were denied.
+	 * been replaced since, and requests for new routes were denied.
 	 */
 	if (!gossip->socket_stale)
 		apply_digests(gossip, &heartbeat);
--- a/packages/edge/gossip.h
+++ b/packages/edge/gossip.h
@@ -27,9 +27,9 @@
 void gossip_set_sync(struct gossip *gossip, struct sync *sync);
 
 /*
- * Where this node is its region's reader, sends the changes of backend servers
- * to the region's peers at once, and otherwise discards them. Also done before
- * each heartbeat.
+ * Takes the pending changes of backend servers. The region's reader sends them
+ * to the region's peers, unless they are too many for its link; other nodes
+ * discard them. Also done before each heartbeat.
  */
 void gossip_send_changes(struct gossip *gossip);
 
--- a/packages/edge/gossip_send.c
+++ b/packages/edge/gossip_send.c
@@ -7,8 +7,9 @@
 
 /*
  * Up to MAX_FULL_MESH members, each heartbeat goes to all peers of the region.
- * With more, it goes to the region's reader and about NEAR_PEERS random peers
- * per round, and members relay each other's heartbeat numbers.
+ * With more, it goes to the region's reader and to each other peer with
+ * probability NEAR_PEERS / members; members relay each other's heartbeat
+ * numbers.
  */
 #define MAX_FULL_MESH 12
 #define NEAR_PEERS 12
@@ -317,12 +318,12 @@
 }
 
 /* Limit of changes sent at one time to so many peers. */
-static guint max_changes(const struct edge *edge, guint neighbours)
+static guint max_changes(const struct edge *edge, guint peers)
 {
 	double datagrams = CHANGE_DATAGRAMS_PER_MBPS * edge->settings.link_mbps;
-	guint beats = (guint)(datagrams / MAX(neighbours, 1));
+	guint datagrams_each = (guint)(datagrams / MAX(peers, 1));
 
-	return HEARTBEAT_MAX_ROWS * MAX(beats, 1);
+	return HEARTBEAT_MAX_ROWS * MAX(datagrams_each, 1);
 }
 
 void gossip_send_changes(struct gossip *gossip)
--- a/packages/edge/stats.h
+++ b/packages/edge/stats.h
@@ -30,11 +30,11 @@
 	struct metric *quarantined; /* requests refused as quarantined */
 	struct metric *lookups;
 	struct metric *registry_reads[READ_CAUSES];
-	struct metric *registry_writes;
+	struct metric *registry_writes; /* rows of nodes, quarantines */
 	struct metric *snapshot_requests; /* sent to peers */
 	struct metric *snapshots_served; /* to peers */
-	struct metric *registry_failures;
-	struct metric *registry_bytes; /* of complete answers */
+	struct metric *registry_failures; /* failed calls that read */
+	struct metric *registry_bytes; /* of decoded answers */
 	struct metric *registry_lost_bytes; /* of aborted answers */
 	struct metric *latency_us; /* arrival of a request to its answer */
 	struct metric *backend_us; /* sending of a request to its answer */
--- a/tests/edge/lane_test.cc
+++ b/tests/edge/lane_test.cc
@@ -36,8 +36,8 @@
 };
 
 const transfer_case transfer_cases[] = {
-	{ "InItsTime", 4000, true },
-	{ "Trickles", 1500, false },
+	{ "WithinTheLimit", 4000, true },
+	{ "TooSlow", 1500, false },
 };
 
 class LaneTransferTest : public LaneTest,
--- a/tests/edge/link_fault_test.cc
+++ b/tests/edge/link_fault_test.cc
@@ -51,19 +51,19 @@
  * idle, and then the next request comes.
  */
 const fault_case fault_cases[] = {
-	{ "Delayed", "late, and whole", RELAY_DELAY, "/r/", 200, 200 },
+	{ "Delayed", "late, and complete", RELAY_DELAY, "/r/", 200, 200 },
 	{ "ResetRead", "sent again on a new connection", RELAY_RESET, "/r/",
 	  200, 200 },
-	{ "ResetOnce", "the end is seen before anything is sent", RELAY_RESET,
-	  "/o/", 200, 200 },
-	{ "StaleOnce", "no answer: it may have run, so no promise", RELAY_STALE,
+	{ "ResetOnce", "the reset is detected before anything is sent",
+	  RELAY_RESET, "/o/", 200, 200 },
+	{ "StaleOnce", "no answer: it may have run, so 504 rather than 503",
+	  RELAY_STALE, "/o/", 504, 200 },
+	{ "StaleRead", "no answer before the caller's deadline", RELAY_STALE,
+	  "/r/", 504, 200 },
+	{ "CutOnRequest", "the request is lost in transit", RELAY_CUT_THERE,
+	  "/o/", 504, 200 },
+	{ "CutOnAnswer", "it ran, and the answer is lost", RELAY_CUT_BACK,
 	  "/o/", 504, 200 },
-	{ "StaleRead", "no answer in the caller's time", RELAY_STALE, "/r/",
-	  504, 200 },
-	{ "PartThere", "the request is lost on its way", RELAY_CUT_THERE, "/o/",
-	  504, 200 },
-	{ "PartBack", "it ran and the answer is lost", RELAY_CUT_BACK, "/o/",
-	  504, 200 },
 };
 
 class LinkFaultCaseTest : public LinkFaultTest,
@@ -80,9 +80,8 @@
 	EXPECT_EQ(200, status_of(answer_to(get("a0", c.path))));
 	relay_set(relay, c.fault);
 	turn_for(50);
-	std::string faulted_status = answer_to(get("a1", c.path, more));
-	EXPECT_EQ(c.faulted_status, status_of(faulted_status))
-		<< faulted_status;
+	std::string answer = answer_to(get("a1", c.path, more));
+	EXPECT_EQ(c.faulted_status, status_of(answer)) << answer;
 	relay_set(relay, RELAY_PASS);
 	/* A server that failed may get no requests for a moment. */
 	wait_for([&] {
@@ -102,8 +101,7 @@
 TEST_F(LinkFaultTest, NarrowLinkLimitsThroughput)
 {
 	const uint64_t bytes_per_s = 1000;
-	const uint64_t min_bytes = 60; /* size of an answer with its headers
-					*/
+	const uint64_t min_bytes = 60; /* of an answer with its headers */
 
 	relay_narrow(relay, bytes_per_s);
 	uint64_t begin_us = edge_now_us(edge);
