--- a/packages/edge/gossip.c
+++ b/packages/edge/gossip.c
@@ -259,7 +259,7 @@
 	gossip->last_turn_us = edge_now_us(edge);
 	/*
 	 * Numbers must rise over a restart, or peers would ignore the restarted
-	 * node's heartbeats as old; the loop's clock doesn't.
+	 * node's heartbeats as old; the loop's clock may start over.
 	 */
 	gossip->epoch_us = (uint64_t)g_get_real_time() - edge_now_us(edge);
 	uv_ip4_addr(at->address, at->port, &address);
--- a/packages/edge/gossip.h
+++ b/packages/edge/gossip.h
@@ -21,8 +21,8 @@
 void gossip_close(struct gossip *gossip);
 
 /*
- * Sets where received table digests and rows go, and where those to send come
- * from (see sync.h). sync may be NULL.
+ * Sets the source of the table digests to send and the receiver of those that
+ * arrive (see sync.h). NULL, as at first: none are sent or applied.
  */
 void gossip_set_sync(struct gossip *gossip, struct sync *sync);
 
