--- a/packages/edge/caller.c
+++ b/packages/edge/caller.c
@@ -18,7 +18,7 @@
  * Requests that a caller may send ahead of answers, in bytes; what comes after
  * them stays in the kernel's buffers.
  */
-#define AHEAD_MAX_BYTES (256 * 1024)
+#define PIPELINED_MAX_BYTES (256 * 1024)
 
 /* An orderly close waits for the caller's end until it is silent so long. */
 #define LINGER_US (1 * US_PER_S)
@@ -27,14 +27,14 @@
  * Longest orderly close, for a caller that goes on to send: a body of 16 MB,
  * which nobody reads any more, takes 13.4 s over a link of 10 Mbit/s.
  */
-#define LINGER_MOST_US (20 * US_PER_S)
+#define LINGER_MAX_US (20 * US_PER_S)
 
 /*
  * A caller that takes no byte of its answer for so long is gone. The kernel
  * takes bytes in steps of up to a third of its buffer of 4 MB at most; over
  * 1 Mbit/s such a step takes 11 s.
  */
-#define UNREAD_US (15 * US_PER_S)
+#define WRITE_STALL_US (15 * US_PER_S)
 
 /* When to come back to a node that doesn't know the limits: in seconds. */
 #define LIMITS_RETRY_S "0.5"
@@ -43,10 +43,10 @@
  * A sweep so late means that the node didn't read either. Sweeps are due every
  * 200 ms; no limit of callers that operators set is as short.
  */
-#define LATE_SWEEP_US (500 * US_PER_MS)
+#define PAUSE_MIN_US (500 * US_PER_MS)
 
 /* Limits before the first configuration is known. */
-static const struct route_limits first_limits = {
+static const struct route_limits initial_limits = {
 	.max_header_bytes = 16 * 1024,
 	.max_body_bytes = 1024 * 1024,
 	.header_timeout_us = 3 * US_PER_S,
@@ -61,26 +61,27 @@
 	uv_shutdown_t shutdown;
 	GList link; /* in edge->callers */
 	struct message_reader reader;
-	GByteArray *ahead; /* bytes of later requests */
+	GByteArray *pipelined; /* bytes of later requests */
 	struct exchange *exchange;
-	uint64_t since_us; /* of the last byte, either way */
+	uint64_t last_progress_us; /* of the last byte, either way */
 	uint64_t linger_since_us; /* the answer that ends it was written */
 	size_t unwritten_bytes; /* of answers, at the last sweep */
 	uint64_t head_since_us; /* of the first byte of a head; 0: none */
 	bool is_head;
-	bool held_back; /* too much was sent ahead: nothing is read */
+	bool reading_paused; /* too much was sent ahead: nothing is read */
 	bool keep_alive; /* as the request asks */
-	bool continued; /* "100 Continue" was sent */
+	bool continue_sent; /* "100 Continue" was sent */
 	bool lingering; /* the answer that ends the connection is out */
 	bool closing;
 };
 
 static void on_read(uv_stream_t *stream, ssize_t count, const uv_buf_t *buffer);
-static void read_on(struct caller *caller, const char *bytes, size_t length);
+static void feed_reader(struct caller *caller, const char *bytes,
+			size_t length);
 
 static const struct route_limits *limits(const struct edge *edge)
 {
-	return edge->routes ? &edge->routes->limits : &first_limits;
+	return edge->routes ? &edge->routes->limits : &initial_limits;
 }
 
 /* --- closing ------------------------------------------------------------ */
@@ -91,7 +92,7 @@
 
 	g_queue_unlink(&caller->edge->callers, &caller->link);
 	message_reader_release(&caller->reader);
-	g_byte_array_unref(caller->ahead);
+	g_byte_array_unref(caller->pipelined);
 	g_free(caller);
 }
 
@@ -124,8 +125,8 @@
 static void caller_linger(struct caller *caller)
 {
 	caller->lingering = true;
-	caller->since_us = edge_now_us(caller->edge);
-	caller->linger_since_us = caller->since_us;
+	caller->last_progress_us = edge_now_us(caller->edge);
+	caller->linger_since_us = caller->last_progress_us;
 	caller->shutdown.data = caller;
 	if (uv_shutdown(&caller->shutdown, (uv_stream_t *)&caller->tcp,
 			on_shut_down))
@@ -169,9 +170,9 @@
 
 static void next_request(struct caller *caller)
 {
-	caller->since_us = edge_now_us(caller->edge);
+	caller->last_progress_us = edge_now_us(caller->edge);
 	caller->head_since_us = 0;
-	caller->continued = false;
+	caller->continue_sent = false;
 	message_reader_next(&caller->reader, false);
 }
 
@@ -181,30 +182,30 @@
  * that must not run twice. While it is held back, its leaving shows only once
  * the answer is written; the request's own deadline bounds that.
  */
-static void pace_reading(struct caller *caller)
+static void update_reading(struct caller *caller)
 {
 	uv_stream_t *stream = (uv_stream_t *)&caller->tcp;
-	bool is_full = caller->ahead->len > AHEAD_MAX_BYTES &&
+	bool is_full = caller->pipelined->len > PIPELINED_MAX_BYTES &&
 		       !caller->lingering;
 
-	if (caller->closing || is_full == caller->held_back)
+	if (caller->closing || is_full == caller->reading_paused)
 		return;
-	caller->held_back = is_full;
+	caller->reading_paused = is_full;
 	if (is_full)
 		uv_read_stop(stream);
 	else
 		uv_read_start(stream, wire_buffer, on_read);
 }
 
-static void read_ahead(struct caller *caller)
+static void read_pipelined(struct caller *caller)
 {
-	GByteArray *ahead = caller->ahead;
+	GByteArray *pipelined = caller->pipelined;
 
-	if (!ahead->len || caller->lingering)
+	if (!pipelined->len || caller->lingering)
 		return;
-	caller->ahead = g_byte_array_new();
-	read_on(caller, (const char *)ahead->data, ahead->len);
-	g_byte_array_unref(ahead);
+	caller->pipelined = g_byte_array_new();
+	feed_reader(caller, (const char *)pipelined->data, pipelined->len);
+	g_byte_array_unref(pipelined);
 }
 
 static void on_finish(struct exchange_sink *sink,
@@ -217,8 +218,8 @@
 		return;
 	write_answer(caller, answer);
 	next_request(caller);
-	read_ahead(caller);
-	pace_reading(caller);
+	read_pipelined(caller);
+	update_reading(caller);
 }
 
 static void on_address(struct exchange_sink *sink, char *text, size_t size)
@@ -297,7 +298,7 @@
  * looked at for the end behind it; that costs a system call, which others are
  * spared.
  */
-static bool has_left(const struct caller *caller)
+static bool is_disconnected(const struct caller *caller)
 {
 	uv_os_fd_t fd;
 	ssize_t count;
@@ -310,7 +311,8 @@
 	return !count || (count < 0 && errno == ECONNRESET);
 }
 
-static void note_left(struct caller *caller, const struct message *request)
+static void log_caller_left(struct caller *caller,
+			    const struct message *request)
 {
 	const char *id =
 		message_header(request, caller->edge->dialect->attempt_id);
@@ -321,7 +323,7 @@
 		  id ? id : "none");
 }
 
-static void take_request(struct caller *caller)
+static void start_request(struct caller *caller)
 {
 	struct message *request = message_reader_take(&caller->reader);
 
@@ -338,8 +340,8 @@
 		reject(caller, 400, "one Host header is needed");
 		return;
 	}
-	if (has_left(caller)) {
-		note_left(caller, request);
+	if (is_disconnected(caller)) {
+		log_caller_left(caller, request);
 		message_free(request);
 		caller_close(caller);
 		return;
@@ -351,20 +353,20 @@
 {
 	const struct message *request = caller->reader.message;
 
-	if (caller->continued || !request->expects_continue)
+	if (caller->continue_sent || !request->expects_continue)
 		return;
-	caller->continued = true;
+	caller->continue_sent = true;
 	wire_write((uv_stream_t *)&caller->tcp,
 		   g_string_new("HTTP/1.1 100 Continue\r\n\r\n"), NULL, NULL);
 }
 
-static void read_on(struct caller *caller, const char *bytes, size_t length)
+static void feed_reader(struct caller *caller, const char *bytes, size_t length)
 {
 	size_t used = 0;
 
 	while (length && !caller->closing && !caller->lingering) {
 		if (caller->exchange) {
-			g_byte_array_append(caller->ahead,
+			g_byte_array_append(caller->pipelined,
 					    (const guint8 *)bytes,
 					    (guint)length);
 			return;
@@ -380,7 +382,7 @@
 		switch (message_reader_feed(&caller->reader, bytes, length,
 					    &used)) {
 		case MESSAGE_WHOLE:
-			take_request(caller);
+			start_request(caller);
 			break;
 		case MESSAGE_MALFORMED:
 			reject(caller, 400, "malformed request");
@@ -410,11 +412,11 @@
 		caller_close(caller);
 		return;
 	}
-	caller->since_us = edge_now_us(caller->edge);
+	caller->last_progress_us = edge_now_us(caller->edge);
 	if (caller->lingering)
 		return;
-	read_on(caller, buffer->base, (size_t)count);
-	pace_reading(caller);
+	feed_reader(caller, buffer->base, (size_t)count);
+	update_reading(caller);
 }
 
 /* --- listening ---------------------------------------------------------- */
@@ -434,8 +436,8 @@
 	caller->sink.vtable = &sink_events;
 	caller->edge = listener->edge;
 	caller->kind = listener->kind;
-	caller->ahead = g_byte_array_new();
-	caller->since_us = edge_now_us(caller->edge);
+	caller->pipelined = g_byte_array_new();
+	caller->last_progress_us = edge_now_us(caller->edge);
 	caller->link.data = caller;
 	message_reader_init(&caller->reader, HTTP_REQUEST, &none);
 	g_queue_push_tail_link(&caller->edge->callers, &caller->link);
@@ -487,13 +489,13 @@
  * own. Were that time taken for silence, each large answer to it would break
  * off at the same place, however often it asked again.
  */
-static void note_written(struct caller *caller, uint64_t now_us)
+static void record_write_progress(struct caller *caller, uint64_t now_us)
 {
 	size_t unwritten_bytes =
 		uv_stream_get_write_queue_size((uv_stream_t *)&caller->tcp);
 
 	if (unwritten_bytes < caller->unwritten_bytes) {
-		caller->since_us = now_us;
+		caller->last_progress_us = now_us;
 		caller->linger_since_us = now_us;
 	}
 	caller->unwritten_bytes = unwritten_bytes;
@@ -501,26 +503,26 @@
 
 static void sweep(struct caller *caller, uint64_t now_us)
 {
-	const struct route_limits *most = limits(caller->edge);
-	uint64_t silent_us;
+	const struct route_limits *current_limits = limits(caller->edge);
+	uint64_t idle_us;
 
 	if (caller->closing)
 		return;
-	note_written(caller, now_us);
-	silent_us = now_us - caller->since_us;
+	record_write_progress(caller, now_us);
+	idle_us = now_us - caller->last_progress_us;
 	if (caller->exchange)
 		return;
 	if (caller->unwritten_bytes) {
-		if (silent_us > UNREAD_US)
+		if (idle_us > WRITE_STALL_US)
 			caller_close(caller);
 	} else if (caller->lingering) {
-		if (silent_us > LINGER_US ||
-		    now_us - caller->linger_since_us > LINGER_MOST_US)
+		if (idle_us > LINGER_US ||
+		    now_us - caller->linger_since_us > LINGER_MAX_US)
 			caller_close(caller);
 	} else if (caller->head_since_us &&
-		   silent_us > most->header_timeout_us) {
+		   idle_us > current_limits->header_timeout_us) {
 		reject(caller, 408, "the request did not come in time");
-	} else if (silent_us > most->idle_timeout_us) {
+	} else if (idle_us > current_limits->idle_timeout_us) {
 		caller_close(caller);
 	}
 }
@@ -531,7 +533,7 @@
  * kernel's buffers, and idle connections with a request on them. Silence counts
  * from the end of the standstill, and what is read next may be as old as it.
  */
-static void note_standstill(struct edge *edge, uint64_t now_us)
+static void detect_pause(struct edge *edge, uint64_t now_us)
 {
 	uint64_t passed_us = now_us - edge->swept_us;
 	GList *at;
@@ -541,10 +543,10 @@
 		edge->stood_since_us = edge->swept_us;
 	}
 	edge->swept_us = now_us;
-	if (passed_us < LATE_SWEEP_US)
+	if (passed_us < PAUSE_MIN_US)
 		return;
 	for (at = edge->callers.head; at; at = at->next)
-		((struct caller *)at->data)->since_us = now_us;
+		((struct caller *)at->data)->last_progress_us = now_us;
 }
 
 void callers_sweep(struct edge *edge)
@@ -553,7 +555,7 @@
 	GList *next;
 	GList *at;
 
-	note_standstill(edge, now_us);
+	detect_pause(edge, now_us);
 	for (at = edge->callers.head; at; at = next) {
 		next = at->next;
 		sweep(at->data, now_us);
@@ -576,7 +578,7 @@
 	}
 }
 
-bool callers_are_unread(const struct edge *edge)
+bool callers_may_have_unread(const struct edge *edge)
 {
 	return edge_is_late(edge);
 }
--- a/packages/edge/caller.h
+++ b/packages/edge/caller.h
@@ -53,7 +53,7 @@
  * Whether requests that came while the process stood still may lie unread, on
  * connections that seem idle or aren't accepted yet.
  */
-bool callers_are_unread(const struct edge *edge);
+bool callers_may_have_unread(const struct edge *edge);
 
 /* Close all connections at once; what is in flight is cancelled. */
 void callers_close_all(struct edge *edge);
--- a/packages/edge/exchange.c
+++ b/packages/edge/exchange.c
@@ -1,4 +1,4 @@
-#include "edge/exchange_parts.h"
+#include "edge/exchange_internal.h"
 
 #include <inttypes.h>
 #include <stdio.h>
@@ -24,7 +24,7 @@
 #define CONNECT_EXTRA_US (200 * US_PER_MS)
 
 /* One turn of the loop: what has arrived is read in it. */
-#define LAST_LOOK_US (1 * US_PER_MS)
+#define CONNECT_RECHECK_US (1 * US_PER_MS)
 
 /*
  * Kept connections may have been dropped by the server while idle; what was
@@ -32,17 +32,17 @@
  * one that was used a moment ago.
  */
 #define IDLE_IDEMPOTENT_US (8 * US_PER_S)
-#define IDLE_ONCE_US (2 * US_PER_S)
+#define IDLE_NON_IDEMPOTENT_US (2 * US_PER_S)
 
 /* Answers of other requests that are passed over on one connection. */
 #define MAX_STRAYS 3
 
 /* When to come back: a node starts, or another server answers, within that. */
-#define RETRY_SOON_US (500 * US_PER_MS)
+#define RETRY_AFTER_US (500 * US_PER_MS)
 
 /* How often, and for how long, a request is held for a token of a rate. */
-#define TOKEN_HOLDS 3
-#define TOKEN_STEP_US (4 * US_PER_MS)
+#define MAX_TOKEN_HOLDS 3
+#define TOKEN_HOLD_US (4 * US_PER_MS)
 
 static void dispatch(struct exchange *exchange);
 
@@ -50,15 +50,15 @@
 
 static void on_timer(uv_timer_t *timer);
 
-static void arm(struct exchange *exchange)
+static void arm_timer(struct exchange *exchange)
 {
 	uint64_t now = exchange_now_us(exchange);
 	uint64_t at = exchange->due_us;
 
 	if (exchange->grace_until_us)
 		at = exchange->grace_until_us;
-	if (exchange->connect_by_us && exchange->connect_by_us < at)
-		at = exchange->connect_by_us;
+	if (exchange->connect_deadline_us && exchange->connect_deadline_us < at)
+		at = exchange->connect_deadline_us;
 	if (exchange->held_until_us && exchange->held_until_us < at)
 		at = exchange->held_until_us;
 	uv_timer_start(&exchange->timer, on_timer,
@@ -76,7 +76,7 @@
 	return names;
 }
 
-static GString *compose(const struct exchange *exchange)
+static GString *format_request(const struct exchange *exchange)
 {
 	const struct message *request = exchange->request;
 	const struct dialect *dialect = exchange->edge->dialect;
@@ -100,7 +100,7 @@
 	return text;
 }
 
-static void remember_tried(struct exchange *exchange)
+static void record_tried(struct exchange *exchange)
 {
 	struct choose_query *query = &exchange->query;
 
@@ -114,13 +114,13 @@
 	struct stats *stats = &exchange->edge->stats;
 	struct conn *conn = exchange->conn;
 
-	exchange->connect_by_us = 0;
+	exchange->connect_deadline_us = 0;
 	exchange->took_token = false;
 	exchange->sent_us = exchange_now_us(exchange);
 	exchange->strays = 0;
 	exchange->retry.sends++;
 	exchange->unsettled++;
-	remember_tried(exchange);
+	record_tried(exchange);
 	metric_add(stats->sent, 1);
 	if (exchange->retry.sends > 1)
 		metric_add(stats->extra, 1);
@@ -135,18 +135,18 @@
 		  backend_load(exchange->choice.backend, exchange->sent_us),
 		  exchange->choice.backend->slots, conn->uses,
 		  exchange_left_us(exchange));
-	arm(exchange);
-	link_send(&conn->link, compose(exchange),
+	arm_timer(exchange);
+	link_send(&conn->link, format_request(exchange),
 		  exchange->request->method == HTTP_HEAD);
 }
 
 static void after_failure(struct exchange *exchange, enum send_outcome outcome,
 			  const char *cause);
 
-static void use_conn(struct exchange *exchange)
+static void send_or_connect(struct exchange *exchange)
 {
 	uint64_t idle_us = exchange->retry.idempotent ? IDLE_IDEMPOTENT_US :
-							IDLE_ONCE_US;
+							IDLE_NON_IDEMPOTENT_US;
 	struct edge *edge = exchange->edge;
 	struct backend *backend = exchange->choice.backend;
 
@@ -162,16 +162,16 @@
 		after_failure(exchange, SEND_UNREACHABLE, "connect");
 		return;
 	}
-	exchange->connect_is_late = false;
-	exchange->connect_by_us =
+	exchange->connect_rechecked = false;
+	exchange->connect_deadline_us =
 		exchange_now_us(exchange) + CONNECT_EXTRA_US +
 		CONNECT_ROUND_TRIPS *
 			chooser_link_us(&edge->chooser, backend->region);
-	arm(exchange);
+	arm_timer(exchange);
 }
 
 /* A status that promises "not run" without the header that proves it. */
-static bool promises_too_much(const struct message *answer)
+static bool is_unproved_refusal(const struct message *answer)
 {
 	return answer->status == 503 || answer->status == 429 ||
 	       answer->status == 408;
@@ -182,39 +182,40 @@
  * would have the caller believe that it did not run, and send it again: such a
  * status becomes 502 on every way to the caller.
  */
-static void deliver_failure(struct exchange *exchange, struct message *failure)
+static void deliver_failure(struct exchange *exchange,
+			    struct message *failed_answer)
 {
-	if (promises_too_much(failure))
+	if (is_unproved_refusal(failed_answer))
 		exchange_finish_failed(exchange, 502, "unproved refusal");
 	else
-		exchange_deliver(exchange, failure);
-	message_free(failure);
+		exchange_deliver(exchange, failed_answer);
+	message_free(failed_answer);
 }
 
 /* Nothing can take the request now: the best answer that there is. */
-static void give_up(struct exchange *exchange, const char *cause)
+static void finish_unserved(struct exchange *exchange, const char *cause)
 {
-	struct message *failure = exchange->failure;
+	struct message *failed_answer = exchange->failed_answer;
 
-	if (!failure) {
+	if (!failed_answer) {
 		exchange_finish_refused(exchange,
 					exchange->choice.retry_after_us, cause);
 		return;
 	}
-	exchange->failure = NULL;
-	deliver_failure(exchange, failure);
+	exchange->failed_answer = NULL;
+	deliver_failure(exchange, failed_answer);
 }
 
 /* Choose again after so long. */
 static void hold_for(struct exchange *exchange, uint64_t hold_us)
 {
 	exchange->held_until_us = exchange_now_us(exchange) + hold_us;
-	arm(exchange);
+	arm_timer(exchange);
 }
 
 /* To those that lend tokens of the server's rate, and back. */
-static uint64_t token_way_us(const struct exchange *exchange,
-			     const struct backend *backend)
+static uint64_t token_round_trip_us(const struct exchange *exchange,
+				    const struct backend *backend)
 {
 	const struct chooser *chooser = &exchange->edge->chooser;
 
@@ -234,29 +235,29 @@
 	struct backend *wanted = choice->wanted;
 	uint64_t now_us = exchange_now_us(exchange);
 	bool is_first = !exchange->token_holds;
-	uint64_t way_us;
+	uint64_t round_trip_us;
 	bool has_come = choice->backend &&
 			rate_limit_is_limited(&choice->backend->limit, now_us);
 
-	if (!wanted || has_come || exchange->token_holds >= TOKEN_HOLDS)
+	if (!wanted || has_come || exchange->token_holds >= MAX_TOKEN_HOLDS)
 		return false;
-	way_us = token_way_us(exchange, wanted);
+	round_trip_us = token_round_trip_us(exchange, wanted);
 	if (rate_limit_may_ask(&wanted->limit, now_us)) {
-		if (!is_first && way_us)
+		if (!is_first && round_trip_us)
 			return false;
-		if (!server_limits_ask(exchange->edge, wanted, way_us))
+		if (!server_limits_ask(exchange->edge, wanted, round_trip_us))
 			return false;
 	} else if (is_first) {
 		rate_limit_miss(&wanted->limit);
 		return false;
 	}
 	exchange->token_holds++;
-	hold_for(exchange, (is_first ? way_us : 0) + TOKEN_STEP_US);
+	hold_for(exchange, (is_first ? round_trip_us : 0) + TOKEN_HOLD_US);
 	return true;
 }
 
 /* A server is about to be warm for the object. */
-static void hold(struct exchange *exchange)
+static void hold_for_warm_server(struct exchange *exchange)
 {
 	if (!exchange->was_held)
 		log_event(LOG_DEBUG, "held",
@@ -277,7 +278,7 @@
 		hold_for(exchange, exchange->choice.hold_us);
 		return;
 	case EXCHANGE_REFUSE:
-		give_up(exchange, cause);
+		finish_unserved(exchange, cause);
 		return;
 	case EXCHANGE_RUN:
 		break;
@@ -290,11 +291,12 @@
 	if (hold_for_token(exchange))
 		return;
 	if (exchange->choice.reason == CHOOSE_HOLD) {
-		hold(exchange);
+		hold_for_warm_server(exchange);
 		return;
 	}
 	if (!exchange->choice.backend) {
-		give_up(exchange, choose_reason_name(exchange->choice.reason));
+		finish_unserved(exchange,
+				choose_reason_name(exchange->choice.reason));
 		return;
 	}
 	backend_ref(exchange->choice.backend);
@@ -305,8 +307,8 @@
 	exchange->took_token = rate_limit_take(&exchange->choice.backend->limit,
 					       exchange_now_us(exchange));
 	exchange->retry.usual_us = (uint64_t)exchange->choice.expected_us;
-	exchange_run_begins(exchange);
-	use_conn(exchange);
+	exchange_record_run_start(exchange);
+	send_or_connect(exchange);
 }
 
 /* --- failures ----------------------------------------------------------- */
@@ -341,15 +343,15 @@
 	return false;
 }
 
-static void end_failed(struct exchange *exchange, enum send_outcome outcome,
-		       const char *cause)
+static void finish_after_failure(struct exchange *exchange,
+				 enum send_outcome outcome, const char *cause)
 {
-	if (exchange->failure)
-		give_up(exchange, cause);
+	if (exchange->failed_answer)
+		finish_unserved(exchange, cause);
 	else if (outcome == SEND_BROKEN)
 		exchange_finish_failed(exchange, 502, cause);
 	else
-		exchange_finish_refused(exchange, RETRY_SOON_US, cause);
+		exchange_finish_refused(exchange, RETRY_AFTER_US, cause);
 }
 
 static void after_failure(struct exchange *exchange, enum send_outcome outcome,
@@ -362,7 +364,7 @@
 		       &exchange->choice);
 	if (outcome == SEND_UNREACHABLE) {
 		exchange->retry.unreachable++;
-		remember_tried(exchange);
+		record_tried(exchange);
 		backend_unreachable(exchange->edge->backends,
 				    exchange->choice.backend,
 				    exchange_now_us(exchange));
@@ -378,9 +380,9 @@
 		  again ? "yes" : "no");
 	exchange_drop_conn(exchange);
 	exchange_release_choice(exchange);
-	exchange->connect_by_us = 0;
+	exchange->connect_deadline_us = 0;
 	if (!again)
-		end_failed(exchange, outcome, cause);
+		finish_after_failure(exchange, outcome, cause);
 	else if (outcome == SEND_BROKEN)
 		hold_for(exchange, CRASH_WATCH_SOON_US);
 	else
@@ -388,7 +390,7 @@
 }
 
 /* The server, or the way to it, gave no answer in all of the time. */
-static void note_silence(struct exchange *exchange)
+static void record_timeout(struct exchange *exchange)
 {
 	struct backend *backend = exchange->choice.backend;
 
@@ -404,15 +406,16 @@
  * meanwhile. Taken for unreachable, their servers would be shunned, all at
  * once, by a node that was late itself; so the loop turns once more.
  */
-static void connect_late(struct exchange *exchange)
+static void on_connect_timeout(struct exchange *exchange)
 {
-	if (exchange->connect_is_late) {
+	if (exchange->connect_rechecked) {
 		after_failure(exchange, SEND_UNREACHABLE, "connect timeout");
 		return;
 	}
-	exchange->connect_is_late = true;
-	exchange->connect_by_us = exchange_now_us(exchange) + LAST_LOOK_US;
-	arm(exchange);
+	exchange->connect_rechecked = true;
+	exchange->connect_deadline_us =
+		exchange_now_us(exchange) + CONNECT_RECHECK_US;
+	arm_timer(exchange);
 }
 
 /*
@@ -423,35 +426,35 @@
 static void begin_grace(struct exchange *exchange)
 {
 	exchange->grace_until_us = exchange_now_us(exchange) + ANSWER_GRACE_US;
-	arm(exchange);
+	arm_timer(exchange);
 }
 
 static void on_timer(uv_timer_t *timer)
 {
 	struct exchange *exchange = timer->data;
 
-	if (exchange_left_us(exchange) && exchange->connect_by_us &&
-	    exchange_now_us(exchange) >= exchange->connect_by_us) {
-		connect_late(exchange);
+	if (exchange_left_us(exchange) && exchange->connect_deadline_us &&
+	    exchange_now_us(exchange) >= exchange->connect_deadline_us) {
+		on_connect_timeout(exchange);
 	} else if (exchange_left_us(exchange) && exchange->held_until_us &&
 		   exchange_now_us(exchange) >= exchange->held_until_us) {
 		exchange->held_until_us = 0;
 		dispatch(exchange);
 	} else if (exchange_left_us(exchange)) {
-		arm(exchange);
+		arm_timer(exchange);
 	} else if (exchange->sent_us && !exchange->grace_until_us) {
 		begin_grace(exchange);
 	} else if (exchange->unsettled) {
-		note_silence(exchange);
+		record_timeout(exchange);
 		exchange_finish_failed(exchange, 504, "timeout");
 	} else {
-		exchange_finish_refused(exchange, RETRY_SOON_US, "timeout");
+		exchange_finish_refused(exchange, RETRY_AFTER_US, "timeout");
 	}
 }
 
 /* --- answers ------------------------------------------------------------ */
 
-static void note_load(struct exchange *exchange, const struct message *answer)
+static void record_load(struct exchange *exchange, const struct message *answer)
 {
 	const char *load =
 		message_header(answer, exchange->edge->dialect->load);
@@ -463,21 +466,21 @@
 				 exchange_now_us(exchange));
 }
 
-static bool says_not_executed(const struct exchange *exchange,
-			      const struct message *answer)
+static bool is_not_executed(const struct exchange *exchange,
+			    const struct message *answer)
 {
 	return answer->status == 421 ||
 	       message_header(answer, exchange->edge->dialect->not_executed);
 }
 
-static bool is_whole_success(const struct exchange *exchange,
-			     const struct message *answer)
+static bool is_sealed_success(const struct exchange *exchange,
+			      const struct message *answer)
 {
 	return answer->status < 300 &&
 	       message_header(answer, exchange->edge->dialect->seal);
 }
 
-static void learn(struct exchange *exchange)
+static void record_success(struct exchange *exchange)
 {
 	struct edge *edge = exchange->edge;
 	struct backend *backend = exchange->choice.backend;
@@ -491,11 +494,12 @@
 }
 
 /* Give the connection back after an answer in good order. */
-static void settle(struct exchange *exchange, const struct message *answer)
+static void release_conn(struct exchange *exchange,
+			 const struct message *answer)
 {
 	struct conn *conn = exchange->conn;
 
-	exchange_leave_backend(exchange);
+	exchange_detach_conn(exchange);
 	if (exchange->strays)
 		pool_drop(conn);
 	else
@@ -514,10 +518,10 @@
 		  "request=%s backend=%s outcome=failed status=%u again=%s",
 		  exchange->id, exchange->choice.backend->id, answer->status,
 		  again ? "yes" : "no");
-	settle(exchange, answer);
+	release_conn(exchange, answer);
 	if (again) {
-		message_free(exchange->failure);
-		exchange->failure = answer;
+		message_free(exchange->failed_answer);
+		exchange->failed_answer = answer;
 		dispatch(exchange);
 		return;
 	}
@@ -531,9 +535,10 @@
 	after_failure(exchange, SEND_NOT_EXECUTED, "shed");
 }
 
-static void on_own_answer(struct exchange *exchange, struct message *answer)
+static void on_matching_answer(struct exchange *exchange,
+			       struct message *answer)
 {
-	note_load(exchange, answer);
+	record_load(exchange, answer);
 	log_event(LOG_DEBUG, "backend-answer",
 		  "request=%s backend=%s status=%u body_bytes=%u framed=%s "
 		  "took_us=%" PRIu64,
@@ -546,21 +551,21 @@
 		server_limits_heard(exchange->edge, exchange->choice.backend,
 				    answer, exchange->sent_us);
 	}
-	if (!says_not_executed(exchange, answer))
-		exchange_was_run(exchange);
-	if (says_not_executed(exchange, answer)) {
+	if (!is_not_executed(exchange, answer))
+		exchange_record_answered(exchange);
+	if (is_not_executed(exchange, answer)) {
 		on_not_executed(exchange, answer);
-	} else if (answer->status >= 500 || promises_too_much(answer)) {
+	} else if (answer->status >= 500 || is_unproved_refusal(answer)) {
 		on_failed_answer(exchange, answer);
 	} else if (answer->status < 300 &&
-		   !is_whole_success(exchange, answer)) {
+		   !is_sealed_success(exchange, answer)) {
 		message_free(answer);
 		backend_failed(exchange->choice.backend,
 			       exchange_now_us(exchange));
 		after_failure(exchange, SEND_BROKEN, "success without seal");
 	} else {
-		learn(exchange);
-		settle(exchange, answer);
+		record_success(exchange);
+		release_conn(exchange, answer);
 		exchange_deliver(exchange, answer);
 		message_free(answer);
 	}
@@ -571,15 +576,16 @@
  * one's answer is due: delivered, it would be another caller's. The id tells.
  * An answer without one is taken only where no other can be on its way.
  */
-static bool is_own(const struct exchange *exchange, const struct conn *conn,
-		   const struct message *answer)
+static bool is_matching_answer(const struct exchange *exchange,
+			       const struct conn *conn,
+			       const struct message *answer)
 {
 	const char *id =
 		message_header(answer, exchange->edge->dialect->attempt_id);
 
 	if (id)
 		return !strcmp(id, exchange->id);
-	return !conn->uses && says_not_executed(exchange, answer);
+	return !conn->uses && is_not_executed(exchange, answer);
 }
 
 static void on_answered(struct conn_user *user, struct conn *conn,
@@ -587,8 +593,8 @@
 {
 	struct exchange *exchange = (struct exchange *)user;
 
-	if (is_own(exchange, conn, answer)) {
-		on_own_answer(exchange, answer);
+	if (is_matching_answer(exchange, conn, answer)) {
+		on_matching_answer(exchange, answer);
 		return;
 	}
 	metric_add(exchange->edge->stats.strays, 1);
@@ -603,7 +609,7 @@
 		conn->link.awaiting = true;
 }
 
-static bool has_token(struct exchange *exchange)
+static bool ensure_token(struct exchange *exchange)
 {
 	struct rate_limit *limit = &exchange->choice.backend->limit;
 	uint64_t now_us = exchange_now_us(exchange);
@@ -625,16 +631,16 @@
 	 * One that opened while the VM stood still tells of that, not of the
 	 * link: its region would be too far for most deadlines.
 	 */
-	if (!exchange->connect_is_late)
+	if (!exchange->connect_rechecked)
 		chooser_link_measured(&edge->chooser, conn->backend->region,
 				      exchange_now_us(exchange) -
 					      conn->opening_us);
 	/* It may have begun to leave, or named a rate, while it opened. */
 	if (backend_is_closed(edge->backends, conn->backend) ||
-	    !has_token(exchange)) {
+	    !ensure_token(exchange)) {
 		exchange_drop_conn(exchange);
 		exchange_release_choice(exchange);
-		exchange->connect_by_us = 0;
+		exchange->connect_deadline_us = 0;
 		dispatch(exchange);
 		return;
 	}
@@ -648,7 +654,7 @@
 	bool was_sent = exchange->sent_us != 0;
 
 	if (was_sent)
-		exchange_broke_at_work(exchange, cause);
+		exchange_record_broken_run(exchange, cause);
 
 	/* A kept connection that ends says little about its server. */
 	if (was_sent && !conn->uses)
@@ -715,7 +721,7 @@
 	if (sync_may_deny(exchange->edge->sync))
 		exchange_finish_denied(exchange, 404, "no route");
 	else
-		exchange_finish_refused(exchange, RETRY_SOON_US,
+		exchange_finish_refused(exchange, RETRY_AFTER_US,
 					"routes unconfirmed");
 }
 
@@ -726,7 +732,7 @@
 	if (!edge->routes || !edge->backends->whole ||
 	    (edge->quarantines &&
 	     quarantine_store_is_reading(edge->quarantines))) {
-		exchange_finish_refused(exchange, RETRY_SOON_US, "starting");
+		exchange_finish_refused(exchange, RETRY_AFTER_US, "starting");
 	} else if (!message_header(exchange->request,
 				   edge->dialect->attempt_id)) {
 		exchange_finish_denied(exchange, 400, "the request has no id");
--- a/packages/edge/exchange_end.c
+++ b/packages/edge/exchange_end.c
@@ -1,4 +1,4 @@
-#include "edge/exchange_parts.h"
+#include "edge/exchange_internal.h"
 
 #include <inttypes.h>
 #include <string.h>
@@ -20,7 +20,7 @@
 
 	if (!backend)
 		return;
-	exchange_run_ends(exchange);
+	exchange_record_run_end(exchange);
 	if (exchange->took_token)
 		rate_limit_give_back(&backend->limit,
 				     exchange_now_us(exchange));
@@ -31,7 +31,7 @@
 }
 
 /* The backend server's connection is no longer this exchange's. */
-void exchange_leave_backend(struct exchange *exchange)
+void exchange_detach_conn(struct exchange *exchange)
 {
 	exchange->sent_us = 0;
 	exchange->conn = NULL;
@@ -44,7 +44,7 @@
 
 	if (!conn)
 		return;
-	exchange_leave_backend(exchange);
+	exchange_detach_conn(exchange);
 	pool_drop(conn);
 }
 
@@ -57,7 +57,7 @@
 	for (i = 0; i < exchange->query.tried_count; i++)
 		backend_unref((struct backend *)exchange->query.tried[i]);
 	message_free(exchange->request);
-	message_free(exchange->failure);
+	message_free(exchange->failed_answer);
 	route_table_unref(exchange->routes);
 	exchange->edge->exchanges--;
 	uv_close((uv_handle_t *)&exchange->timer, on_timer_closed);
@@ -82,7 +82,7 @@
 }
 
 /* What the node knew of the routes, for a line of its log. */
-static char *routes_belief(const struct edge *edge)
+static char *format_routes_state(const struct edge *edge)
 {
 	uint64_t age_us = edge->sync ? sync_routes_age_us(edge->sync) :
 				       UINT64_MAX;
@@ -98,13 +98,13 @@
 			       edge->routes->version, age_us);
 }
 
-static void finish_own(struct exchange *exchange, uint16_t status,
-		       uint64_t retry_after_us, const char *cause)
+static void finish_generated(struct exchange *exchange, uint16_t status,
+			     uint64_t retry_after_us, const char *cause)
 {
 	struct edge *edge = exchange->edge;
 	GString *headers = g_string_new(NULL);
 	GByteArray *body = g_byte_array_new();
-	char *belief = routes_belief(edge);
+	char *routes_state = format_routes_state(edge);
 	const struct exchange_answer answer = { status, headers, body, false };
 
 	if (retry_after_us)
@@ -117,8 +117,8 @@
 	edge_note_refusal(edge, cause, status, exchange->id);
 	log_event(LOG_INFO, "own-answer",
 		  "request=%s status=%u cause=%s unsettled=%u %s", exchange->id,
-		  status, cause, exchange->unsettled, belief);
-	g_free(belief);
+		  status, cause, exchange->unsettled, routes_state);
+	g_free(routes_state);
 	finish(exchange, &answer);
 	g_string_free(headers, TRUE);
 	g_byte_array_unref(body);
@@ -132,32 +132,32 @@
 
 	if (exchange->unsettled) {
 		metric_add(stats->failed, 1);
-		finish_own(exchange, 502, 0, cause);
+		finish_generated(exchange, 502, 0, cause);
 		return;
 	}
 	metric_add(stats->refused, 1);
-	finish_own(exchange, 503, retry_after_us, cause);
+	finish_generated(exchange, 503, retry_after_us, cause);
 }
 
 void exchange_finish_failed(struct exchange *exchange, uint16_t status,
 			    const char *cause)
 {
 	metric_add(exchange->edge->stats.failed, 1);
-	finish_own(exchange, status, 0, cause);
+	finish_generated(exchange, status, 0, cause);
 }
 
 void exchange_finish_denied(struct exchange *exchange, uint16_t status,
 			    const char *cause)
 {
 	metric_add(exchange->edge->stats.denied, 1);
-	finish_own(exchange, status, 0, cause);
+	finish_generated(exchange, status, 0, cause);
 }
 
 void exchange_deliver(struct exchange *exchange, const struct message *answer)
 {
 	GString *headers = g_string_new(NULL);
 	const char *length = message_header(answer, "Content-Length");
-	const struct exchange_answer whole = {
+	const struct exchange_answer outgoing = {
 		.status = answer->status,
 		.headers = headers,
 		.body = answer->body,
@@ -169,7 +169,7 @@
 		g_string_append_printf(headers, "Content-Length: %s\r\n",
 				       length);
 	metric_add(exchange->edge->stats.delivered, 1);
-	finish(exchange, &whole);
+	finish(exchange, &outgoing);
 	g_string_free(headers, TRUE);
 }
 
--- a/packages/edge/exchange_parts.h
+++ b/packages/edge/exchange_internal.h
@@ -1,8 +1,8 @@
 /*
- * exchange_parts - what the files of exchange share; not for other modules
+ * exchange_internal - what the files of exchange share; not for other modules
  */
-#ifndef EDGE_EXCHANGE_PARTS_H
-#define EDGE_EXCHANGE_PARTS_H
+#ifndef EDGE_EXCHANGE_INTERNAL_H
+#define EDGE_EXCHANGE_INTERNAL_H
 
 #include "core/retry.h"
 #include "edge/exchange.h"
@@ -21,13 +21,14 @@
 
 	struct conn *conn; /* in use, or NULL */
 	struct choice choice; /* behind conn; holds a reference */
-	uint64_t connect_by_us; /* 0 once open */
+	uint64_t connect_deadline_us; /* 0 once open */
 	bool has_claimed; /* the next run, as that of a suspect */
 	bool is_suspect; /* servers may have ended under it */
 	bool runs_as_suspect; /* a run of it is noted at choice.backend */
 	uint32_t token_holds; /* times it was held for a token */
 	bool took_token; /* of the server's rate, for a request not sent yet */
-	bool connect_is_late; /* connect_by_us was put off for a last look */
+	bool connect_rechecked; /* connect_deadline_us was put off for a last
+				   look */
 	uint64_t held_until_us; /* 0, or when to choose again */
 	bool was_held;
 	uint64_t sent_us; /* 0: not sent on conn yet */
@@ -36,7 +37,8 @@
 
 	struct retry_state retry;
 	uint32_t unsettled; /* sends that may have run */
-	struct message *failure; /* a failed answer, kept beside a retry */
+	struct message *failed_answer; /* a failed answer, kept beside a retry
+					*/
 	uv_timer_t timer;
 	bool ended;
 };
@@ -56,7 +58,7 @@
 
 /* Let go of the chosen server, and of the connection to it. */
 void exchange_release_choice(struct exchange *exchange);
-void exchange_leave_backend(struct exchange *exchange);
+void exchange_detach_conn(struct exchange *exchange);
 void exchange_drop_conn(struct exchange *exchange);
 
 /*
@@ -72,7 +74,7 @@
 			    const char *cause);
 
 /* Whether a request may be sent now. */
-enum exchange_leave {
+enum exchange_admission {
 	EXCHANGE_RUN,
 	EXCHANGE_WAIT, /* choice.hold_us is set */
 	EXCHANGE_REFUSE, /* choice.retry_after_us and the cause are set */
@@ -83,11 +85,11 @@
  * begins at the chosen server, ends, was answered, or broke off with its
  * connection.
  */
-enum exchange_leave exchange_may_run(struct exchange *exchange,
-				     const char **cause);
-void exchange_run_begins(struct exchange *exchange);
-void exchange_run_ends(struct exchange *exchange);
-void exchange_was_run(struct exchange *exchange);
-void exchange_broke_at_work(struct exchange *exchange, const char *cause);
+enum exchange_admission exchange_may_run(struct exchange *exchange,
+					 const char **cause);
+void exchange_record_run_start(struct exchange *exchange);
+void exchange_record_run_end(struct exchange *exchange);
+void exchange_record_answered(struct exchange *exchange);
+void exchange_record_broken_run(struct exchange *exchange, const char *cause);
 
 #endif
--- a/packages/edge/exchange_suspect.c
+++ b/packages/edge/exchange_suspect.c
@@ -1,4 +1,4 @@
-#include "edge/exchange_parts.h"
+#include "edge/exchange_internal.h"
 
 #include <inttypes.h>
 #include <netinet/in.h>
@@ -11,14 +11,14 @@
 #include "edge/quarantine_store.h"
 
 /* When to look, or to come back, while another run of it is under way. */
-#define LOOK_AGAIN_US (20 * US_PER_MS)
-#define RETRY_AT_WORK_US (500 * US_PER_MS)
+#define RUN_POLL_US (20 * US_PER_MS)
+#define RETRY_RUNNING_US (500 * US_PER_MS)
 
 /* Longest time to come back after that a quarantined request is told. */
-#define RETRY_QUARANTINED_MOST_US (60 * US_PER_S)
+#define RETRY_QUARANTINED_MAX_US (60 * US_PER_S)
 
 /* A server's answer at the deadline needs the way back. */
-#define RUN_END_US (500 * US_PER_MS)
+#define RUN_GRACE_US (500 * US_PER_MS)
 
 static uint64_t fingerprint(struct exchange *exchange)
 {
@@ -38,29 +38,29 @@
 	return exchange->fingerprint;
 }
 
-static bool nothing_is_suspected(const struct exchange *exchange)
+static bool has_no_suspects(const struct exchange *exchange)
 {
 	return !exchange->edge->suspects->count;
 }
 
-static void tell_others(struct exchange *exchange)
+static void schedule_broadcast(struct exchange *exchange)
 {
 	if (exchange->edge->gossip)
 		gossip_tell_words(exchange->edge->gossip);
 }
 
 /* Place of this node among those that may have the request. */
-static uint32_t rank(const struct edge *edge, uint64_t print)
+static uint32_t node_rank(const struct edge *edge, uint64_t request_hash)
 {
-	return member_table_rank(edge->members, (uint32_t)print);
+	return member_table_rank(edge->members, (uint32_t)request_hash);
 }
 
 /* Hold it for so long, or refuse it at once where its answer would be late. */
-static enum exchange_leave wait_or_refuse(struct exchange *exchange,
-					  uint64_t hold_us, const char **cause)
+static enum exchange_admission
+wait_or_refuse(struct exchange *exchange, uint64_t hold_us, const char **cause)
 {
 	exchange->choice.hold_us = hold_us;
-	exchange->choice.retry_after_us = RETRY_AT_WORK_US;
+	exchange->choice.retry_after_us = RETRY_RUNNING_US;
 	*cause = suspect_verdict_name(SUSPECT_AT_WORK);
 	if (exchange_left_us(exchange) > exchange->retry.usual_us + hold_us)
 		return EXCHANGE_WAIT;
@@ -71,42 +71,43 @@
  * Another run of the same request is under way. Callers that shared a server
  * that ended ask for the same object; all but one wait for that one's answer.
  */
-static enum exchange_leave wait_for_run(struct exchange *exchange,
-					const char **cause)
+static enum exchange_admission wait_for_run(struct exchange *exchange,
+					    const char **cause)
 {
 	exchange->has_claimed = false;
-	return wait_or_refuse(exchange, LOOK_AGAIN_US, cause);
+	return wait_or_refuse(exchange, RUN_POLL_US, cause);
 }
 
 /* Other nodes may be about to run it, too, or another suspect. */
-static enum exchange_leave claim(struct exchange *exchange, const char **cause)
+static enum exchange_admission claim(struct exchange *exchange,
+				     const char **cause)
 {
 	struct edge *edge = exchange->edge;
-	enum exchange_leave leave =
+	enum exchange_admission admission =
 		wait_or_refuse(exchange, SUSPECT_CLAIM_US, cause);
 
-	if (leave == EXCHANGE_REFUSE)
-		return leave;
+	if (admission == EXCHANGE_REFUSE)
+		return admission;
 	suspect_claim(edge->suspects, exchange->fingerprint,
 		      edge->members->self->hash, exchange_now_us(exchange));
-	tell_others(exchange);
+	schedule_broadcast(exchange);
 	exchange->has_claimed = true;
-	return leave;
+	return admission;
 }
 
-static enum exchange_leave refuse_quarantined(struct exchange *exchange,
-					      uint64_t left_us,
-					      const char **cause)
+static enum exchange_admission refuse_quarantined(struct exchange *exchange,
+						  uint64_t left_us,
+						  const char **cause)
 {
 	exchange->choice.retry_after_us =
-		CLAMP(left_us, RETRY_AT_WORK_US, RETRY_QUARANTINED_MOST_US);
+		CLAMP(left_us, RETRY_RUNNING_US, RETRY_QUARANTINED_MAX_US);
 	*cause = suspect_verdict_name(SUSPECT_QUARANTINED);
 	metric_add(exchange->edge->stats.quarantined, 1);
 	return EXCHANGE_REFUSE;
 }
 
 /* Whether another try of it broke off, and its server may have ended. */
-static bool just_broke_off(struct exchange *exchange)
+static bool is_crash_check_pending(struct exchange *exchange)
 {
 	const struct crash_watch *watch = exchange->edge->crashes;
 
@@ -114,7 +115,7 @@
 	       crash_watch_doubts(watch, fingerprint(exchange));
 }
 
-static enum exchange_leave wait_for_watch(struct exchange *exchange)
+static enum exchange_admission wait_for_crash_check(struct exchange *exchange)
 {
 	exchange->choice.hold_us = CRASH_WATCH_SOON_US;
 	return EXCHANGE_WAIT;
@@ -125,37 +126,37 @@
  * each try has an id of its own. What bounds it is how many servers ended under
  * it.
  */
-enum exchange_leave exchange_may_run(struct exchange *exchange,
-				     const char **cause)
+enum exchange_admission exchange_may_run(struct exchange *exchange,
+					 const char **cause)
 {
 	struct edge *edge = exchange->edge;
 	struct suspect_query query = {
 		.node = edge->members->self->hash,
 		.has_claimed = exchange->has_claimed,
 	};
-	struct suspect_ruling ruling;
+	struct suspect_ruling decision;
 
 	exchange->query.apart = CHOOSE_TOGETHER;
 	exchange->is_suspect = false;
-	if (just_broke_off(exchange))
-		return wait_for_watch(exchange);
-	if (nothing_is_suspected(exchange))
+	if (is_crash_check_pending(exchange))
+		return wait_for_crash_check(exchange);
+	if (has_no_suspects(exchange))
 		return EXCHANGE_RUN;
 	query.fingerprint = fingerprint(exchange);
-	query.is_prober = !rank(edge, query.fingerprint);
+	query.is_prober = !node_rank(edge, query.fingerprint);
 	suspect_rule(edge->suspects, &query, edge->backends,
-		     exchange_now_us(exchange), &ruling);
-	switch (ruling.verdict) {
+		     exchange_now_us(exchange), &decision);
+	switch (decision.verdict) {
 	case SUSPECT_AT_WORK:
 		return wait_for_run(exchange, cause);
 	case SUSPECT_QUARANTINED:
-		return refuse_quarantined(exchange, ruling.left_us, cause);
+		return refuse_quarantined(exchange, decision.left_us, cause);
 	case SUSPECT_ALONE:
-		if (ruling.claims)
+		if (decision.claims)
 			return claim(exchange, cause);
 		exchange->is_suspect = true;
-		exchange->query.apart = ruling.apart ? CHOOSE_APART_ONLY :
-						       CHOOSE_APART;
+		exchange->query.apart = decision.apart ? CHOOSE_APART_ONLY :
+							 CHOOSE_APART;
 		break;
 	case SUSPECT_NONE:
 		break;
@@ -163,14 +164,14 @@
 	return EXCHANGE_RUN;
 }
 
-void exchange_run_begins(struct exchange *exchange)
+void exchange_record_run_start(struct exchange *exchange)
 {
 	struct edge *edge = exchange->edge;
 	const struct suspect_run run = {
 		.fingerprint = exchange->fingerprint,
 		.node = edge->members->self->hash,
 		.life = exchange->choice.backend->life,
-		.until_us = exchange->due_us + RUN_END_US,
+		.until_us = exchange->due_us + RUN_GRACE_US,
 		.apart = exchange->query.apart == CHOOSE_APART_ONLY,
 	};
 
@@ -179,10 +180,10 @@
 	exchange->runs_as_suspect = true;
 	exchange->has_claimed = false;
 	suspect_run_begins(edge->suspects, &run);
-	tell_others(exchange);
+	schedule_broadcast(exchange);
 }
 
-void exchange_run_ends(struct exchange *exchange)
+void exchange_record_run_end(struct exchange *exchange)
 {
 	struct edge *edge = exchange->edge;
 
@@ -191,16 +192,16 @@
 	exchange->runs_as_suspect = false;
 	suspect_run_ends(edge->suspects, exchange->fingerprint,
 			 edge->members->self->hash);
-	tell_others(exchange);
+	schedule_broadcast(exchange);
 }
 
-void exchange_was_run(struct exchange *exchange)
+void exchange_record_answered(struct exchange *exchange)
 {
 	struct edge *edge = exchange->edge;
 	const struct suspect *suspect;
 	bool was_quarantined;
 
-	if (nothing_is_suspected(exchange))
+	if (has_no_suspects(exchange))
 		return;
 	suspect = suspect_table_find(edge->suspects, fingerprint(exchange));
 	was_quarantined = suspect && suspect->rounds;
@@ -214,7 +215,7 @@
  * The request's id doesn't tell one that comes again, since each try has its
  * own; the fingerprint does.
  */
-static void log_broken(struct exchange *exchange, const char *cause)
+static void log_broken_run(struct exchange *exchange, const char *cause)
 {
 	const struct backend *backend = exchange->choice.backend;
 	char address[INET_ADDRSTRLEN];
@@ -234,12 +235,12 @@
 		  backend->connections);
 }
 
-void exchange_broke_at_work(struct exchange *exchange, const char *cause)
+void exchange_record_broken_run(struct exchange *exchange, const char *cause)
 {
 	struct edge *edge = exchange->edge;
 	char *text;
 
-	log_broken(exchange, cause);
+	log_broken_run(exchange, cause);
 	if (!edge->crashes)
 		return;
 	text = g_strdup_printf("%s %s",
--- a/packages/edge/pool.c
+++ b/packages/edge/pool.c
@@ -6,12 +6,12 @@
 #include "core/duration.h"
 
 /* Kept for so long where the server doesn't say; shorter than usual servers. */
-#define KEEP_PRIOR_US (4 * US_PER_S)
+#define DEFAULT_IDLE_TIMEOUT_US (4 * US_PER_S)
 
 /* Before the server closes an idle connection we do, by this much. */
-#define KEEP_MARGIN_US (1 * US_PER_S)
+#define IDLE_TIMEOUT_MARGIN_US (1 * US_PER_S)
 
-static void count(struct conn *conn, bool open)
+static void set_counted(struct conn *conn, bool open)
 {
 	if (conn->counted == open)
 		return;
@@ -26,7 +26,7 @@
 {
 	struct conn *conn = (struct conn *)link;
 
-	count(conn, true);
+	set_counted(conn, true);
 	if (conn->user)
 		conn->user->vtable->opened(conn->user, conn);
 	else
@@ -52,7 +52,7 @@
 	if (conn->counted)
 		backend_ended_connection(conn->backend,
 					 clock_now_us(conn->pool->clock));
-	count(conn, false);
+	set_counted(conn, false);
 	if (conn->user)
 		conn->user->vtable->ended(conn->user, conn, cause);
 	else
@@ -76,13 +76,13 @@
 };
 
 void pool_init(struct pool *pool, uv_loop_t *loop, const struct clock *clock,
-	       const struct message_limits *limits, uint32_t idle_most)
+	       const struct message_limits *limits, uint32_t max_idle)
 {
 	memset(pool, 0, sizeof(*pool));
 	pool->loop = loop;
 	pool->clock = clock;
 	pool->limits = *limits;
-	pool->idle_most = idle_most;
+	pool->max_idle = max_idle;
 	pool->idle = g_ptr_array_new();
 }
 
@@ -97,16 +97,17 @@
 	return now_us - conn->idle_since_us;
 }
 
-static bool is_fresh(const struct conn *conn, uint64_t most_idle_us,
+static bool is_fresh(const struct conn *conn, uint64_t max_idle_us,
 		     uint64_t now_us)
 {
 	uint64_t idle = idle_us(conn, now_us);
 
-	return idle <= most_idle_us && idle < conn->keep_us;
+	return idle <= max_idle_us && idle < conn->idle_timeout_us;
 }
 
-static struct conn *newest(const struct pool *pool,
-			   const struct backend *backend, uint64_t most_idle_us)
+static struct conn *find_idle(const struct pool *pool,
+			      const struct backend *backend,
+			      uint64_t max_idle_us)
 {
 	uint64_t now_us = clock_now_us(pool->clock);
 	guint i;
@@ -115,8 +116,8 @@
 		struct conn *conn = pool->idle->pdata[i - 1];
 
 		if (conn->backend == backend)
-			return is_fresh(conn, most_idle_us, now_us) ? conn :
-								      NULL;
+			return is_fresh(conn, max_idle_us, now_us) ? conn :
+								     NULL;
 	}
 	return NULL;
 }
@@ -135,9 +136,9 @@
 }
 
 struct conn *pool_take(struct pool *pool, struct backend *backend,
-		       uint64_t most_idle_us, struct conn_user *user)
+		       uint64_t max_idle_us, struct conn_user *user)
 {
-	struct conn *conn = newest(pool, backend, most_idle_us);
+	struct conn *conn = find_idle(pool, backend, max_idle_us);
 
 	if (!conn)
 		return NULL;
@@ -156,7 +157,7 @@
 	conn->backend = backend_ref(backend);
 	conn->user = user;
 	conn->opening_us = clock_now_us(pool->clock);
-	conn->keep_us = KEEP_PRIOR_US;
+	conn->idle_timeout_us = DEFAULT_IDLE_TIMEOUT_US;
 	pool->open_count++;
 	pool->opened_total++;
 	status = link_open(&conn->link, &link_events, pool->loop,
@@ -171,18 +172,18 @@
 }
 
 /* "timeout=N" of a Keep-Alive header, in seconds. */
-static uint64_t keep_time(const struct message *answer)
+static uint64_t parse_idle_timeout(const struct message *answer)
 {
 	const char *value = message_header(answer, "Keep-Alive");
 	const char *timeout = value ? strstr(value, "timeout=") : NULL;
 	uint64_t seconds;
 
 	if (!timeout)
-		return KEEP_PRIOR_US;
+		return DEFAULT_IDLE_TIMEOUT_US;
 	seconds = g_ascii_strtoull(timeout + strlen("timeout="), NULL, 10);
-	if (seconds * US_PER_S <= KEEP_MARGIN_US)
+	if (seconds * US_PER_S <= IDLE_TIMEOUT_MARGIN_US)
 		return 0;
-	return seconds * US_PER_S - KEEP_MARGIN_US;
+	return seconds * US_PER_S - IDLE_TIMEOUT_MARGIN_US;
 }
 
 void pool_give_back(struct conn *conn, const struct message *answer)
@@ -191,11 +192,11 @@
 
 	conn->user = NULL;
 	conn->uses++;
-	conn->keep_us = keep_time(answer);
+	conn->idle_timeout_us = parse_idle_timeout(answer);
 	conn->idle_since_us = clock_now_us(pool->clock);
 	if (!answer->keep_alive || conn->link.extra || conn->link.writing ||
-	    !conn->link.open || !conn->keep_us || conn->backend->gone ||
-	    conn->backend->draining || conn->backend->kept >= pool->idle_most)
+	    !conn->link.open || !conn->idle_timeout_us || conn->backend->gone ||
+	    conn->backend->draining || conn->backend->kept >= pool->max_idle)
 		pool_drop(conn);
 	else
 		add_idle(pool, conn);
@@ -203,7 +204,7 @@
 
 void pool_drop(struct conn *conn)
 {
-	count(conn, false);
+	set_counted(conn, false);
 	if (!conn->user)
 		remove_idle(conn->pool, conn);
 	conn->user = NULL;
@@ -219,7 +220,7 @@
 		struct conn *conn = pool->idle->pdata[i - 1];
 
 		if (backend_is_closed(backends, conn->backend) ||
-		    idle_us(conn, now_us) >= conn->keep_us)
+		    idle_us(conn, now_us) >= conn->idle_timeout_us)
 			pool_drop(conn);
 	}
 }
--- a/packages/edge/pool.h
+++ b/packages/edge/pool.h
@@ -41,7 +41,7 @@
 	struct conn_user *user; /* NULL while idle */
 	uint64_t opening_us; /* when it began to connect */
 	uint64_t idle_since_us;
-	uint64_t keep_us; /* how long the server keeps it when idle */
+	uint64_t idle_timeout_us; /* how long the server keeps it when idle */
 	uint32_t uses; /* requests that were answered on it */
 	bool counted; /* among the server's open ones */
 };
@@ -52,20 +52,20 @@
 	struct message_limits limits;
 	uint32_t open_count;
 	uint64_t opened_total;
-	uint32_t idle_most; /* kept for each backend server */
+	uint32_t max_idle; /* kept for each backend server */
 	GPtrArray *idle; /* of struct conn, freshest last */
 };
 
 void pool_init(struct pool *pool, uv_loop_t *loop, const struct clock *clock,
-	       const struct message_limits *limits, uint32_t idle_most);
+	       const struct message_limits *limits, uint32_t max_idle);
 void pool_release(struct pool *pool);
 
 /*
- * A kept connection that was idle for no longer than most_idle_us, or NULL; the
+ * A kept connection that was idle for no longer than max_idle_us, or NULL; the
  * freshest first.
  */
 struct conn *pool_take(struct pool *pool, struct backend *backend,
-		       uint64_t most_idle_us, struct conn_user *user);
+		       uint64_t max_idle_us, struct conn_user *user);
 
 /* Open a new one; NULL with the cause logged where that fails at once. */
 struct conn *pool_open(struct pool *pool, struct backend *backend,
--- a/packages/edge/run.c
+++ b/packages/edge/run.c
@@ -146,7 +146,7 @@
 	taking_us = MIN(taking_us, edge->settings.stop_most_us / 2);
 	if (passed_us < taking_us)
 		return;
-	if (callers_are_unread(edge) &&
+	if (callers_may_have_unread(edge) &&
 	    passed_us + STOP_MARGIN_US <= edge->settings.stop_most_us)
 		return;
 	if (!run->front_closed) {
--- a/tests/edge/early_ends_test.cc
+++ b/tests/edge/early_ends_test.cc
@@ -327,20 +327,20 @@
 	auto caller = call(get("a1", "/r/"));
 	wait_for([&] { return is_whole(*caller); });
 	turn_for(400);
-	ASSERT_FALSE(callers_are_unread(edge));
+	ASSERT_FALSE(callers_may_have_unread(edge));
 	caller->got.clear();
 	caller->send(get("a2", "/r/"));
 	g_usleep(600 * 1000);
 	/* What a stop does at each tick once its requests are taken. */
 	callers_sweep(edge);
-	EXPECT_TRUE(callers_are_unread(edge));
-	if (!callers_are_unread(edge))
+	EXPECT_TRUE(callers_may_have_unread(edge));
+	if (!callers_may_have_unread(edge))
 		callers_close_idle(edge);
 	wait_for([&] { return is_whole(*caller); });
 	EXPECT_EQ(200, status_of(caller->got));
 	EXPECT_EQ(1u, app_stand_runs(app.stand, "a2"));
 	turn_for(600);
-	EXPECT_FALSE(callers_are_unread(edge));
+	EXPECT_FALSE(callers_may_have_unread(edge));
 }
 
 /*
