--- a/packages/edge/caller.c
+++ b/packages/edge/caller.c
@@ -15,37 +15,38 @@
 #define LISTEN_BACKLOG 512
 
 /*
- * Requests that a caller may send ahead of answers, in bytes; what comes after
- * them stays in the kernel's buffers.
+ * Pipelined requests that are buffered for a connection, in bytes. Beyond that,
+ * bytes stay in the kernel's buffers.
  */
 #define PIPELINED_MAX_BYTES (256 * 1024)
 
-/* An orderly close waits for the caller's end until it is silent so long. */
+/* A lingering connection is closed if the caller sends nothing for this. */
 #define LINGER_US (1 * US_PER_S)
 
 /*
- * Longest orderly close, for a caller that goes on to send: a body of 16 MB,
- * which nobody reads any more, takes 13.4 s over a link of 10 Mbit/s.
+ * Maximum lingering time of a caller that keeps sending: a body of 16 MB, which
+ * is discarded, takes 13.4 s over a link of 10 Mbit/s.
  */
 #define LINGER_MAX_US (20 * US_PER_S)
 
 /*
- * A caller that takes no byte of its answer for so long is gone. The kernel
- * takes bytes in steps of up to a third of its buffer of 4 MB at most; over
+ * A connection without write progress for this long is closed. The kernel
+ * accepts bytes in steps of up to a third of its buffer of at most 4 MB; over
  * 1 Mbit/s such a step takes 11 s.
  */
 #define WRITE_STALL_US (15 * US_PER_S)
 
-/* When to come back to a node that doesn't know the limits: in seconds. */
+/* Retry-After of a node whose limits aren't confirmed, in seconds. */
 #define LIMITS_RETRY_S "0.5"
 
 /*
- * A sweep so late means that the node didn't read either. Sweeps are due every
- * 200 ms; no limit of callers that operators set is as short.
+ * Time between two sweeps that counts as a pause, in which the node didn't read
+ * either. Sweeps are due every 200 ms, and no timeout for callers that
+ * operators set is this short.
  */
 #define PAUSE_MIN_US (500 * US_PER_MS)
 
-/* Limits before the first configuration is known. */
+/* Limits until the first configuration is loaded. */
 static const struct route_limits initial_limits = {
 	.max_header_bytes = 16 * 1024,
 	.max_body_bytes = 1024 * 1024,
@@ -61,17 +62,17 @@
 	uv_shutdown_t shutdown;
 	GList link; /* in edge->callers */
 	struct message_reader reader;
-	GByteArray *pipelined; /* bytes of later requests */
+	GByteArray *pipelined; /* unparsed bytes of later requests */
 	struct exchange *exchange;
-	uint64_t last_progress_us; /* of the last byte, either way */
-	uint64_t linger_since_us; /* the answer that ends it was written */
+	uint64_t last_progress_us; /* last byte read or written */
+	uint64_t linger_since_us; /* last answer queued, or write progress */
 	size_t unwritten_bytes; /* of answers, at the last sweep */
-	uint64_t head_since_us; /* of the first byte of a head; 0: none */
+	uint64_t head_since_us; /* first byte of a request; 0: none */
 	bool is_head;
-	bool reading_paused; /* too much was sent ahead: nothing is read */
-	bool keep_alive; /* as the request asks */
-	bool continue_sent; /* "100 Continue" was sent */
-	bool lingering; /* the answer that ends the connection is out */
+	bool reading_paused; /* too much is pipelined */
+	bool keep_alive; /* requested by the caller */
+	bool continue_sent; /* "100 Continue" */
+	bool lingering; /* after the connection's last answer */
 	bool closing;
 };
 
@@ -118,9 +119,9 @@
 }
 
 /*
- * Bytes that come after the last answer are read and dropped. Closed with some
- * unread, the connection is reset, and a caller that sends its whole body
- * before it reads loses the answer.
+ * Shuts down writing; bytes that still arrive are read and discarded. Closing
+ * with unread bytes would reset the connection, and a caller that sends its
+ * whole body before it reads would lose the answer.
  */
 static void caller_linger(struct caller *caller)
 {
@@ -177,10 +178,10 @@
 }
 
 /*
- * A caller that sends large bodies ahead of its answers is held back, not
- * closed: a close would cancel the request that is being run, which may be one
- * that must not run twice. While it is held back, its leaving shows only once
- * the answer is written; the request's own deadline bounds that.
+ * Stops reading from a caller that pipelines large bodies, and resumes later.
+ * Closing would cancel the running request, which may be one that must not run
+ * twice. While reading is paused, a disconnect is noticed only once the answer
+ * is written; the request's deadline bounds that.
  */
 static void update_reading(struct caller *caller)
 {
@@ -263,8 +264,9 @@
 }
 
 /*
- * Over a limit that the operator set. One that isn't known yet, or may have
- * been raised since, is no ground to turn a caller away for good.
+ * Rejects a request over a limit that the operator set. If the limit isn't
+ * loaded yet or may have been raised since, the answer is 503 instead of a
+ * final error.
  */
 static void reject_too_large(struct caller *caller, uint16_t status,
 			     const char *cause)
@@ -292,11 +294,11 @@
 }
 
 /*
- * After a standstill of the VM, or of the loop while it reads a large document,
- * a request and its caller's leaving lie in the kernel together, and the
- * request is read first. Sent on, a server works for nobody. So a late one is
- * looked at for the end behind it; that costs a system call, which others are
- * spared.
+ * Whether the caller has already disconnected. After a pause of the VM, or of
+ * the loop while it parses a large document, the kernel may hold a request and
+ * the end of its connection, and the request is read first: a server would run
+ * it for nobody. The check costs a system call, so it is made only after a
+ * pause.
  */
 static bool is_disconnected(const struct caller *caller)
 {
@@ -485,9 +487,9 @@
 }
 
 /*
- * A caller on a slow path takes an answer for seconds, without a byte of its
- * own. Were that time taken for silence, each large answer to it would break
- * off at the same place, however often it asked again.
+ * Counts write progress as activity. A caller on a slow link receives an answer
+ * for seconds without sending anything; treated as idle, it would get every
+ * large answer truncated at the same place, however often it retried.
  */
 static void record_write_progress(struct caller *caller, uint64_t now_us)
 {
@@ -528,10 +530,10 @@
 }
 
 /*
- * After a standstill of the VM timers come before what callers sent meanwhile.
- * Taken for their silence, it ends requests that are there, whole, in the
- * kernel's buffers, and idle connections with a request on them. Silence counts
- * from the end of the standstill, and what is read next may be as old as it.
+ * After a pause of the VM, timers fire before the bytes are read that callers
+ * sent meanwhile. Timeouts would end requests that are complete in the kernel's
+ * buffers, and idle connections with a new request. So idle times restart at
+ * the end of the pause. Bytes read next may have arrived when it began.
  */
 static void detect_pause(struct edge *edge, uint64_t now_us)
 {
--- a/packages/edge/caller.h
+++ b/packages/edge/caller.h
@@ -1,11 +1,11 @@
 /*
  * caller - an incoming HTTP/1.1 connection
  *
- * Requests are read whole, one after another. On the front listener each
- * becomes an exchange; on the others a node answers itself (edge/local). A
- * caller that leaves cancels its exchange at once. An answer that ends the
- * connection is followed by an orderly close, so that bytes still on their way
- * don't destroy it.
+ * Requests are read completely, one after another. On the front listener each
+ * starts an exchange; requests on the other listeners are answered by the node
+ * (edge/local). A caller that disconnects cancels its exchange at once. After
+ * the last answer the connection lingers before it is closed: bytes still
+ * arriving would otherwise reset it and lose the answer.
  */
 #ifndef EDGE_CALLER_H
 #define EDGE_CALLER_H
@@ -31,31 +31,34 @@
 	bool open;
 };
 
-/* Listen; RESULT_SYSTEM on failure. */
+/* Starts to listen. Returns false and sets RESULT_SYSTEM on failure. */
 bool listener_open(struct listener *listener, struct edge *edge,
 		   enum listener_kind kind, const struct endpoint *at,
 		   GError **error);
 void listener_close(struct listener *listener);
 
-/* Close connections that were idle or slow for too long; call it often. */
+/*
+ * Closes connections that were idle or slow for too long. Also detects pauses
+ * of the process; call it every 200 ms.
+ */
 void callers_sweep(struct edge *edge);
 
-/* End, in order, the connections that no request is on. */
+/* Closes the front listener's idle connections, with lingering. */
 void callers_close_idle(struct edge *edge);
 
 /*
- * Whether a request is in flight or part of an answer to one isn't out yet. A
- * process that ends before cuts the answer off.
+ * Whether a request is in flight or an answer isn't completely written yet. If
+ * the process exits earlier, the answer is truncated.
  */
 bool callers_are_waiting(const struct edge *edge);
 
 /*
- * Whether requests that came while the process stood still may lie unread, on
- * connections that seem idle or aren't accepted yet.
+ * Whether requests that arrived during a pause of the process may still be
+ * unread, on connections that look idle or aren't accepted yet.
  */
 bool callers_may_have_unread(const struct edge *edge);
 
-/* Close all connections at once; what is in flight is cancelled. */
+/* Closes all connections at once and cancels their requests. */
 void callers_close_all(struct edge *edge);
 
 #ifdef __cplusplus
--- a/packages/edge/exchange.c
+++ b/packages/edge/exchange.c
@@ -13,34 +13,37 @@
 #include "edge/sync.h"
 
 /*
- * A backend server stops work at the deadline it was given; its answer then
- * needs the way back. So much longer than a route's timeout it is waited for;
- * callers see an answer late by this at most.
+ * Wait for an answer beyond the request's deadline. A backend server works up
+ * to the deadline, and its answer then has to cross the link. A caller gets its
+ * answer late by this much at most.
  */
 #define ANSWER_GRACE_US (120 * US_PER_MS)
 
-/* A connection that takes longer than some round trips won't open. */
+/* Connect timeout: some round trips to the server's region plus a margin. */
 #define CONNECT_ROUND_TRIPS 3
 #define CONNECT_EXTRA_US (200 * US_PER_MS)
 
-/* One turn of the loop: what has arrived is read in it. */
+/* Extension of a connect timeout: one turn of the loop to read events. */
 #define CONNECT_RECHECK_US (1 * US_PER_MS)
 
 /*
- * Kept connections may have been dropped by the server while idle; what was
- * sent on such a one may have run. A request that may not run twice only takes
- * one that was used a moment ago.
+ * Maximum idle time of a reused connection. The server may have closed it
+ * meanwhile, and whether it ran a request sent on it is then unknown. A request
+ * that must not run twice therefore only reuses a recently used one.
  */
 #define IDLE_IDEMPOTENT_US (8 * US_PER_S)
 #define IDLE_NON_IDEMPOTENT_US (2 * US_PER_S)
 
-/* Answers of other requests that are passed over on one connection. */
+/* Answers to other requests that are skipped on one connection. */
 #define MAX_STRAYS 3
 
-/* When to come back: a node starts, or another server answers, within that. */
+/* Retry-After of refusals: a node starts, or a server recovers, within it. */
 #define RETRY_AFTER_US (500 * US_PER_MS)
 
-/* How often, and for how long, a request is held for a token of a rate. */
+/*
+ * How often a request is held for a token of a server's rate, and for how long
+ * each time, beyond the round trip.
+ */
 #define MAX_TOKEN_HOLDS 3
 #define TOKEN_HOLD_US (4 * US_PER_MS)
 
@@ -170,7 +173,10 @@
 	arm_timer(exchange);
 }
 
-/* A status that promises "not run" without the header that proves it. */
+/*
+ * Whether the status tells callers that the request did not run. Only called
+ * for answers without the header that proves it.
+ */
 static bool is_unproved_refusal(const struct message *answer)
 {
 	return answer->status == 503 || answer->status == 429 ||
@@ -178,9 +184,9 @@
 }
 
 /*
- * Hand on a backend server's failure. One that ran the request and answers 503
- * would have the caller believe that it did not run, and send it again: such a
- * status becomes 502 on every way to the caller.
+ * Delivers a backend server's failed answer. If a server runs the request and
+ * answers 503, its caller would take the request as not run and send it again.
+ * Such a status is therefore always replaced by 502.
  */
 static void deliver_failure(struct exchange *exchange,
 			    struct message *failed_answer)
@@ -192,7 +198,7 @@
 	message_free(failed_answer);
 }
 
-/* Nothing can take the request now: the best answer that there is. */
+/* No server can take the request: an earlier failed answer, or a refusal. */
 static void finish_unserved(struct exchange *exchange, const char *cause)
 {
 	struct message *failed_answer = exchange->failed_answer;
@@ -206,14 +212,14 @@
 	deliver_failure(exchange, failed_answer);
 }
 
-/* Choose again after so long. */
+/* Chooses a server again after hold_us. */
 static void hold_for(struct exchange *exchange, uint64_t hold_us)
 {
 	exchange->held_until_us = exchange_now_us(exchange) + hold_us;
 	arm_timer(exchange);
 }
 
-/* To those that lend tokens of the server's rate, and back. */
+/* Round trip to the nodes that hold quotas of the server's rate. */
 static uint64_t token_round_trip_us(const struct exchange *exchange,
 				    const struct backend *backend)
 {
@@ -225,9 +231,10 @@
 }
 
 /*
- * A sender of the best server's rate answers after the way to it, with tokens
- * or none. Where it has none another one is asked, if it is near. One request
- * at a time asks, the others go elsewhere.
+ * Holds the request while a token for the best server is requested from a quota
+ * holder, which answers after one round trip. If it has no token, another
+ * holder is asked, but only in this region. One request at a time waits for
+ * tokens; others go to other servers. Returns false if the request isn't held.
  */
 static bool hold_for_token(struct exchange *exchange)
 {
@@ -256,7 +263,7 @@
 	return true;
 }
 
-/* A server is about to be warm for the object. */
+/* Holds the request for a server that will soon be warm for its object. */
 static void hold_for_warm_server(struct exchange *exchange)
 {
 	if (!exchange->was_held)
@@ -389,7 +396,10 @@
 		dispatch(exchange);
 }
 
-/* The server, or the way to it, gave no answer in all of the time. */
+/*
+ * No answer came in time. If the connection was a reused one, the server's
+ * other idle ones may be broken, too.
+ */
 static void record_timeout(struct exchange *exchange)
 {
 	struct backend *backend = exchange->choice.backend;
@@ -402,9 +412,9 @@
 }
 
 /*
- * After a standstill of the VM timers come before connections that opened
- * meanwhile. Taken for unreachable, their servers would be shunned, all at
- * once, by a node that was late itself; so the loop turns once more.
+ * After a pause of the VM, timers fire before the loop sees connections that
+ * opened meanwhile. Their servers would all be marked unreachable and shunned,
+ * though only this node was late. So the loop turns once more first.
  */
 static void on_connect_timeout(struct exchange *exchange)
 {
@@ -419,9 +429,9 @@
 }
 
 /*
- * From now, not from due_us: after a standstill of the VM timers come before
- * what was received meanwhile, and an answer that is there would be read after
- * its request had been answered with 504.
+ * The grace counts from now, not from due_us: after a pause of the VM, timers
+ * fire before received bytes are read, and a request whose answer has already
+ * arrived would be answered with 504.
  */
 static void begin_grace(struct exchange *exchange)
 {
@@ -493,7 +503,10 @@
 		      exchange_now_us(exchange));
 }
 
-/* Give the connection back after an answer in good order. */
+/*
+ * Returns the connection to the pool after an answer. It is closed if there
+ * were stray answers, as more may follow.
+ */
 static void release_conn(struct exchange *exchange,
 			 const struct message *answer)
 {
@@ -545,7 +558,7 @@
 		  exchange->id, exchange->choice.backend->id, answer->status,
 		  answer->body->len, answer->has_length ? "yes" : "no",
 		  exchange_now_us(exchange) - exchange->sent_us);
-	/* A 421 is another server's, which has the address now. */
+	/* A 421 comes from another server that has the address now. */
 	if (answer->status != 421) {
 		backend_answered(exchange->choice.backend, exchange->sent_us);
 		server_limits_heard(exchange->edge, exchange->choice.backend,
@@ -572,9 +585,10 @@
 }
 
 /*
- * A backend server may answer a request twice, the second time where the next
- * one's answer is due: delivered, it would be another caller's. The id tells.
- * An answer without one is taken only where no other can be on its way.
+ * Whether the answer belongs to this request, by its id. A backend server may
+ * answer a request twice; the second answer arrives when the next request's is
+ * due and must not go to that caller. An answer without an id is accepted only
+ * as "not executed" on a new connection, where no other answer can arrive.
  */
 static bool is_matching_answer(const struct exchange *exchange,
 			       const struct conn *conn,
@@ -628,14 +642,14 @@
 	struct edge *edge = exchange->edge;
 
 	/*
-	 * One that opened while the VM stood still tells of that, not of the
-	 * link: its region would be too far for most deadlines.
+	 * A connect time that includes a pause of the VM isn't the link's
+	 * latency: the region would be too far for most deadlines.
 	 */
 	if (!exchange->connect_rechecked)
 		chooser_link_measured(&edge->chooser, conn->backend->region,
 				      exchange_now_us(exchange) -
 					      conn->opening_us);
-	/* It may have begun to leave, or named a rate, while it opened. */
+	/* The server may have begun to drain or set a rate while connecting. */
 	if (backend_is_closed(edge->backends, conn->backend) ||
 	    !ensure_token(exchange)) {
 		exchange_drop_conn(exchange);
@@ -656,7 +670,7 @@
 	if (was_sent)
 		exchange_record_broken_run(exchange, cause);
 
-	/* A kept connection that ends says little about its server. */
+	/* A reused connection may end because it was idle for too long. */
 	if (was_sent && !conn->uses)
 		backend_failed(exchange->choice.backend,
 			       exchange_now_us(exchange));
@@ -713,8 +727,9 @@
 }
 
 /*
- * A node that may be behind doesn't know whether the route is there. Denied by
- * it, callers of a route that was just added are turned away for good.
+ * A node whose routes may be outdated doesn't know whether the route exists.
+ * Its 404 would be final for callers of a route that was just added, so it
+ * answers 503 until its routes are confirmed.
  */
 static void finish_without_route(struct exchange *exchange)
 {
--- a/packages/edge/exchange.h
+++ b/packages/edge/exchange.h
@@ -1,10 +1,11 @@
 /*
- * exchange - one request of a caller, from its arrival to its one answer
+ * exchange - one request of a caller, from its arrival to its only answer
  *
- * The request goes to a backend server, to another one where the first surely
- * did not run it or it may run twice, and ends with exactly one call of the
- * sink's finish, unless it is cancelled. Statuses 429 and 503 are given only
- * where the request did not run and never will.
+ * The request is sent to a backend server. It is retried at another one only
+ * if the first certainly did not run it or the request is idempotent. An
+ * exchange calls the sink's finish exactly once, unless it is cancelled. The
+ * caller gets status 429 or 503 only if the request has not run and never
+ * will.
  */
 #ifndef EDGE_EXCHANGE_H
 #define EDGE_EXCHANGE_H
@@ -22,23 +23,23 @@
 struct exchange;
 struct exchange_sink;
 
-/* What goes to the caller; the framing is the connection's. */
+/* The answer to the caller; its connection adds the framing. */
 struct exchange_answer {
 	uint16_t status;
-	const GString *headers; /* lines with their ends */
+	const GString *headers; /* lines, each with CRLF */
 	const GByteArray *body;
 	/*
-	 * The backend server gave no length: whether it broke off can't be
-	 * known, so the answer must not go out as a whole one of known length.
+	 * The backend server sent no length, so a truncated body can't be
+	 * detected. The answer must be sent without a length, too.
 	 */
 	bool until_close;
 };
 
 struct exchange_sink_vtable {
-	/* The one answer; lent. */
+	/* Receives the answer, which is valid during the call only. */
 	void (*finish)(struct exchange_sink *sink,
 		       const struct exchange_answer *answer);
-	/* The caller's address as text, for logs. */
+	/* Writes the caller's address as text, for logs. */
 	void (*address)(struct exchange_sink *sink, char *text, size_t size);
 };
 
@@ -47,13 +48,16 @@
 };
 
 /*
- * Start; the request is the exchange's from then on. NULL where the answer came
- * at once.
+ * Starts an exchange, which takes ownership of the request. Returns NULL if the
+ * sink got the answer during the call.
  */
 struct exchange *exchange_start(struct edge *edge, struct exchange_sink *sink,
 				struct message *request);
 
-/* The caller left: cut the backend server's connection, and no answer. */
+/*
+ * Frees the exchange of a caller that left: closes the connection to the
+ * backend server and calls no finish.
+ */
 void exchange_cancel(struct exchange *exchange);
 
 #ifdef __cplusplus
--- a/packages/edge/exchange_end.c
+++ b/packages/edge/exchange_end.c
@@ -30,7 +30,6 @@
 	exchange->choice.backend = NULL;
 }
 
-/* The backend server's connection is no longer this exchange's. */
 void exchange_detach_conn(struct exchange *exchange)
 {
 	exchange->sent_us = 0;
@@ -81,7 +80,7 @@
 	exchange_free(exchange);
 }
 
-/* What the node knew of the routes, for a line of its log. */
+/* Version and age of this node's routes as log fields; free with g_free(). */
 static char *format_routes_state(const struct edge *edge)
 {
 	uint64_t age_us = edge->sync ? sync_routes_age_us(edge->sync) :
@@ -124,7 +123,10 @@
 	g_byte_array_unref(body);
 }
 
-/* A 503 promises that the request never runs; only an unsent one can. */
+/*
+ * A 503 promises that the request has not run and never will, so a request that
+ * may have run gets 502 instead.
+ */
 void exchange_finish_refused(struct exchange *exchange, uint64_t retry_after_us,
 			     const char *cause)
 {
--- a/packages/edge/exchange_internal.h
+++ b/packages/edge/exchange_internal.h
@@ -1,5 +1,5 @@
 /*
- * exchange_internal - what the files of exchange share; not for other modules
+ * exchange_internal - shared by the exchange*.c files only
  */
 #ifndef EDGE_EXCHANGE_INTERNAL_H
 #define EDGE_EXCHANGE_INTERNAL_H
@@ -12,33 +12,31 @@
 	struct edge *edge;
 	struct exchange_sink *sink;
 	struct message *request;
-	struct route_table *routes; /* holds route and service */
+	struct route_table *routes; /* keeps query's route and service alive */
 	struct choose_query query;
 	const char *id;
-	uint64_t fingerprint; /* 0: not taken yet */
+	uint64_t fingerprint; /* 0: not computed yet */
 	uint64_t arrived_us;
-	uint64_t due_us; /* the caller must have its answer */
+	uint64_t due_us; /* when the caller must have its answer */
 
 	struct conn *conn; /* in use, or NULL */
-	struct choice choice; /* behind conn; holds a reference */
-	uint64_t connect_deadline_us; /* 0 once open */
-	bool has_claimed; /* the next run, as that of a suspect */
-	bool is_suspect; /* servers may have ended under it */
-	bool runs_as_suspect; /* a run of it is noted at choice.backend */
-	uint32_t token_holds; /* times it was held for a token */
-	bool took_token; /* of the server's rate, for a request not sent yet */
-	bool connect_rechecked; /* connect_deadline_us was put off for a last
-				   look */
-	uint64_t held_until_us; /* 0, or when to choose again */
+	struct choice choice; /* the server of conn; holds a reference */
+	uint64_t connect_deadline_us; /* 0 once it is open */
+	bool has_claimed; /* its next run, as a suspect's */
+	bool is_suspect; /* servers may have crashed while running it */
+	bool runs_as_suspect; /* its run at choice.backend is recorded */
+	uint32_t token_holds; /* times it was held for a rate token */
+	bool took_token; /* has an unused token of the server's rate */
+	bool connect_rechecked; /* connect_deadline_us was extended once */
+	uint64_t held_until_us; /* when to choose again; 0: not held */
 	bool was_held;
 	uint64_t sent_us; /* 0: not sent on conn yet */
-	uint32_t strays;
-	uint64_t grace_until_us; /* 0, or a sent request's end past due_us */
+	uint32_t strays; /* other requests' answers on conn */
+	uint64_t grace_until_us; /* end of the wait past due_us; 0: none */
 
 	struct retry_state retry;
 	uint32_t unsettled; /* sends that may have run */
-	struct message *failed_answer; /* a failed answer, kept beside a retry
-					*/
+	struct message *failed_answer; /* kept during a retry, or NULL */
 	uv_timer_t timer;
 	bool ended;
 };
@@ -48,7 +46,7 @@
 	return edge_now_us(exchange->edge);
 }
 
-/* Time until the caller must have its answer. */
+/* Time left until the caller must have its answer; 0: none. */
 static inline uint64_t exchange_left_us(const struct exchange *exchange)
 {
 	uint64_t now_us = exchange_now_us(exchange);
@@ -56,14 +54,19 @@
 	return now_us < exchange->due_us ? exchange->due_us - now_us : 0;
 }
 
-/* Let go of the chosen server, and of the connection to it. */
+/*
+ * exchange_release_choice() releases the chosen server, its token and the
+ * record of a suspect's run. exchange_detach_conn() does so and forgets the
+ * connection without closing it; exchange_drop_conn() closes it, too.
+ */
 void exchange_release_choice(struct exchange *exchange);
 void exchange_detach_conn(struct exchange *exchange);
 void exchange_drop_conn(struct exchange *exchange);
 
 /*
- * The ways an exchange ends; each frees it. A refusal becomes 502 where a send
- * may have run.
+ * Each of these answers the caller and frees the exchange. deliver: the answer
+ * of a backend server. refused: 503, or 502 if a send may have run. failed: an
+ * error after sending. denied: a final error, not to be retried.
  */
 void exchange_deliver(struct exchange *exchange, const struct message *answer);
 void exchange_finish_refused(struct exchange *exchange, uint64_t retry_after_us,
@@ -73,17 +76,18 @@
 void exchange_finish_denied(struct exchange *exchange, uint16_t status,
 			    const char *cause);
 
-/* Whether a request may be sent now. */
+/* Whether the request may be sent now. */
 enum exchange_admission {
 	EXCHANGE_RUN,
-	EXCHANGE_WAIT, /* choice.hold_us is set */
-	EXCHANGE_REFUSE, /* choice.retry_after_us and the cause are set */
+	EXCHANGE_WAIT, /* for choice.hold_us */
+	EXCHANGE_REFUSE, /* with choice.retry_after_us and a cause */
 };
 
 /*
- * exchange_suspect.c: what is known against the request. A run of a suspect
- * begins at the chosen server, ends, was answered, or broke off with its
- * connection.
+ * exchange_suspect.c: requests suspected of crashing backend servers.
+ * exchange_may_run() decides whether this one may be sent. The others record
+ * that its run at the chosen server starts, ends, got an answer, or broke off
+ * with its connection.
  */
 enum exchange_admission exchange_may_run(struct exchange *exchange,
 					 const char **cause);
--- a/packages/edge/exchange_suspect.c
+++ b/packages/edge/exchange_suspect.c
@@ -10,14 +10,17 @@
 #include "edge/gossip.h"
 #include "edge/quarantine_store.h"
 
-/* When to look, or to come back, while another run of it is under way. */
+/*
+ * While another node or exchange runs the request: interval of checks, and
+ * Retry-After if it can't wait.
+ */
 #define RUN_POLL_US (20 * US_PER_MS)
 #define RETRY_RUNNING_US (500 * US_PER_MS)
 
-/* Longest time to come back after that a quarantined request is told. */
+/* Maximum Retry-After for a quarantined request. */
 #define RETRY_QUARANTINED_MAX_US (60 * US_PER_S)
 
-/* A server's answer at the deadline needs the way back. */
+/* A run's record outlives its deadline: the answer has to cross the link. */
 #define RUN_GRACE_US (500 * US_PER_MS)
 
 static uint64_t fingerprint(struct exchange *exchange)
@@ -49,13 +52,13 @@
 		gossip_tell_words(exchange->edge->gossip);
 }
 
-/* Place of this node among those that may have the request. */
+/* Rank of this node for the request; the node of rank 0 is its prober. */
 static uint32_t node_rank(const struct edge *edge, uint64_t request_hash)
 {
 	return member_table_rank(edge->members, (uint32_t)request_hash);
 }
 
-/* Hold it for so long, or refuse it at once where its answer would be late. */
+/* Waits for hold_us, or refuses at once if the answer would then be late. */
 static enum exchange_admission
 wait_or_refuse(struct exchange *exchange, uint64_t hold_us, const char **cause)
 {
@@ -68,8 +71,8 @@
 }
 
 /*
- * Another run of the same request is under way. Callers that shared a server
- * that ended ask for the same object; all but one wait for that one's answer.
+ * Another run of the same request is in progress. Callers that shared a crashed
+ * server ask for the same object; all but one wait for that one's answer.
  */
 static enum exchange_admission wait_for_run(struct exchange *exchange,
 					    const char **cause)
@@ -78,7 +81,10 @@
 	return wait_or_refuse(exchange, RUN_POLL_US, cause);
 }
 
-/* Other nodes may be about to run it, too, or another suspect. */
+/*
+ * Announces the run to the other nodes and waits for their claims, as they may
+ * be about to run this request or another suspect.
+ */
 static enum exchange_admission claim(struct exchange *exchange,
 				     const char **cause)
 {
@@ -106,7 +112,7 @@
 	return EXCHANGE_REFUSE;
 }
 
-/* Whether another try of it broke off, and its server may have ended. */
+/* Whether another attempt broke off just now and may have crashed a server. */
 static bool is_crash_check_pending(struct exchange *exchange)
 {
 	const struct crash_watch *watch = exchange->edge->crashes;
@@ -122,9 +128,9 @@
 }
 
 /*
- * A limit on the sends of one try doesn't bound a request that comes again:
- * each try has an id of its own. What bounds it is how many servers ended under
- * it.
+ * The limit on the sends of one exchange doesn't bound a request that its
+ * caller repeats, as each attempt has an id of its own. The number of servers
+ * that crashed while running it does.
  */
 enum exchange_admission exchange_may_run(struct exchange *exchange,
 					 const char **cause)
@@ -212,8 +218,8 @@
 }
 
 /*
- * The request's id doesn't tell one that comes again, since each try has its
- * own; the fingerprint does.
+ * Logs the fingerprint, which identifies a repeated request; the request's id
+ * differs in each attempt.
  */
 static void log_broken_run(struct exchange *exchange, const char *cause)
 {
--- a/packages/edge/pool.c
+++ b/packages/edge/pool.c
@@ -5,10 +5,10 @@
 #include "adapters/log.h"
 #include "core/duration.h"
 
-/* Kept for so long where the server doesn't say; shorter than usual servers. */
+/* If the server names no timeout; shorter than the usual ones of servers. */
 #define DEFAULT_IDLE_TIMEOUT_US (4 * US_PER_S)
 
-/* Before the server closes an idle connection we do, by this much. */
+/* An idle connection is closed this long before the server closes it. */
 #define IDLE_TIMEOUT_MARGIN_US (1 * US_PER_S)
 
 static void set_counted(struct conn *conn, bool open)
@@ -122,7 +122,7 @@
 	return NULL;
 }
 
-/* Choices weigh whether a connection is there. */
+/* backend->kept is used in choosing a server. */
 static void add_idle(struct pool *pool, struct conn *conn)
 {
 	g_ptr_array_add(pool->idle, conn);
@@ -171,7 +171,10 @@
 	return NULL;
 }
 
-/* "timeout=N" of a Keep-Alive header, in seconds. */
+/*
+ * Idle timeout from "timeout=N" (seconds) of a Keep-Alive header, less the
+ * margin; 0 if the connection can't be kept.
+ */
 static uint64_t parse_idle_timeout(const struct message *answer)
 {
 	const char *value = message_header(answer, "Keep-Alive");
--- a/packages/edge/pool.h
+++ b/packages/edge/pool.h
@@ -1,8 +1,8 @@
 /*
  * pool - connections to backend servers, kept between requests
  *
- * A connection serves one user at a time and is kept only after an answer in
- * good order. Not thread-safe.
+ * A connection has one user at a time and is kept only after a complete, valid
+ * answer. Not thread-safe.
  */
 #ifndef EDGE_POOL_H
 #define EDGE_POOL_H
@@ -21,7 +21,7 @@
 struct conn;
 struct conn_user;
 
-/* How a connection's user hears of it. */
+/* Events of a connection, for its user; answered() passes ownership. */
 struct conn_user_vtable {
 	void (*opened)(struct conn_user *user, struct conn *conn);
 	void (*answered)(struct conn_user *user, struct conn *conn,
@@ -39,11 +39,11 @@
 	struct pool *pool;
 	struct backend *backend;
 	struct conn_user *user; /* NULL while idle */
-	uint64_t opening_us; /* when it began to connect */
+	uint64_t opening_us; /* when the connect was started */
 	uint64_t idle_since_us;
-	uint64_t idle_timeout_us; /* how long the server keeps it when idle */
-	uint32_t uses; /* requests that were answered on it */
-	bool counted; /* among the server's open ones */
+	uint64_t idle_timeout_us; /* closed after this idle time */
+	uint32_t uses; /* requests answered on it */
+	bool counted; /* in backend->connections */
 };
 
 struct pool {
@@ -52,8 +52,8 @@
 	struct message_limits limits;
 	uint32_t open_count;
 	uint64_t opened_total;
-	uint32_t max_idle; /* kept for each backend server */
-	GPtrArray *idle; /* of struct conn, freshest last */
+	uint32_t max_idle; /* per backend server */
+	GPtrArray *idle; /* of struct conn, most recently used last */
 };
 
 void pool_init(struct pool *pool, uv_loop_t *loop, const struct clock *clock,
@@ -61,33 +61,33 @@
 void pool_release(struct pool *pool);
 
 /*
- * A kept connection that was idle for no longer than max_idle_us, or NULL; the
- * freshest first.
+ * Takes the backend server's most recently used idle connection. Returns NULL
+ * if there is none or it was idle for longer than max_idle_us.
  */
 struct conn *pool_take(struct pool *pool, struct backend *backend,
 		       uint64_t max_idle_us, struct conn_user *user);
 
-/* Open a new one; NULL with the cause logged where that fails at once. */
+/* Starts to connect. Logs the cause and returns NULL if that fails at once. */
 struct conn *pool_open(struct pool *pool, struct backend *backend,
 		       struct conn_user *user);
 
-/* Its answer came in good order; keep it where it can serve again. */
+/* Returns a connection after its answer; it is closed if not reusable. */
 void pool_give_back(struct conn *conn, const struct message *answer);
 
-/* Nothing more on it; the server sees it closed. */
+/* Closes a connection, idle or in use; its user gets no event. */
 void pool_drop(struct conn *conn);
 
-/* Close what was idle for too long, and all of servers that are closed. */
+/* Closes connections idle for too long, or to servers that are closed. */
 void pool_sweep(struct pool *pool, const struct backend_table *backends);
 
 /*
- * Close what is idle of one server: a kept connection to it fell silent, and
- * what lost track of that one, a link or a middlebox, has lost the others too.
- * Without this each of them costs a caller its whole time.
+ * Closes a server's idle connections, after one of its reused connections got
+ * no answer: a link or middlebox that lost the state of one has lost the others
+ * too. Otherwise each of them would cost a caller its whole timeout.
  */
 void pool_drop_idle_of(struct pool *pool, const struct backend *backend);
 
-/* Close all that is idle: they can't be trusted after a suspension. */
+/* Closes all idle connections; they may be broken after a suspension. */
 void pool_drop_idle(struct pool *pool);
 
 #ifdef __cplusplus
