--- a/packages/edge/exchange.c
+++ b/packages/edge/exchange.c
@@ -37,7 +37,7 @@
 /* Answers to other requests that are skipped on one connection. */
 #define MAX_STRAYS 3
 
-/* Retry-After of refusals: a node starts, or a server recovers, within it. */
+/* Retry-After of refusals: by then a node starts or another server answers. */
 #define RETRY_AFTER_US (500 * US_PER_MS)
 
 /*
