--- /dev/null
+++ b/packages/edge/exchange_internal.h
@@ -0,0 +1,99 @@
+/*
+ * exchange_internal - shared by the exchange*.c files only
+ */
+#ifndef EDGE_EXCHANGE_INTERNAL_H
+#define EDGE_EXCHANGE_INTERNAL_H
+
+#include "core/retry.h"
+#include "edge/exchange.h"
+
+struct exchange {
+	struct conn_user user; /* first member */
+	struct edge *edge;
+	struct exchange_sink *sink;
+	struct message *request;
+	struct route_table *routes; /* keeps query's route and service alive */
+	struct choose_query query;
+	const char *id;
+	uint64_t fingerprint; /* 0: not computed yet */
+	uint64_t arrived_us;
+	uint64_t due_us; /* when the caller must have its answer */
+
+	struct conn *conn; /* in use, or NULL */
+	struct choice choice; /* the server of conn; holds a reference */
+	uint64_t connect_deadline_us; /* 0 once it is open */
+	bool has_claimed; /* its next run, as a suspect's */
+	bool is_suspect; /* servers may have crashed while running it */
+	bool runs_as_suspect; /* its run at choice.backend is recorded */
+	uint32_t token_holds; /* times it was held for a rate token */
+	bool took_token; /* has an unused token of the server's rate */
+	bool connect_rechecked; /* connect_deadline_us was extended once */
+	uint64_t held_until_us; /* when to choose again; 0: not held */
+	bool was_held;
+	uint64_t sent_us; /* 0: not sent on conn yet */
+	uint32_t strays; /* other requests' answers on conn */
+	uint64_t grace_until_us; /* end of the wait past due_us; 0: none */
+
+	struct retry_state retry;
+	uint32_t unsettled; /* sends that may have run */
+	struct message *failed_answer; /* kept during a retry, or NULL */
+	uv_timer_t timer;
+	bool ended;
+};
+
+static inline uint64_t exchange_now_us(const struct exchange *exchange)
+{
+	return edge_now_us(exchange->edge);
+}
+
+/* Time left until the caller must have its answer; 0: none. */
+static inline uint64_t exchange_left_us(const struct exchange *exchange)
+{
+	uint64_t now_us = exchange_now_us(exchange);
+
+	return now_us < exchange->due_us ? exchange->due_us - now_us : 0;
+}
+
+/*
+ * exchange_release_choice() releases the chosen server, its token and the
+ * record of a suspect's run. exchange_detach_conn() does so and forgets the
+ * connection without closing it; exchange_drop_conn() closes it, too.
+ */
+void exchange_release_choice(struct exchange *exchange);
+void exchange_detach_conn(struct exchange *exchange);
+void exchange_drop_conn(struct exchange *exchange);
+
+/*
+ * Each of these answers the caller and frees the exchange. deliver: the answer
+ * of a backend server. refused: 503, or 502 if a send may have run. failed: an
+ * error after sending. denied: a final error, not to be retried.
+ */
+void exchange_deliver(struct exchange *exchange, const struct message *answer);
+void exchange_finish_refused(struct exchange *exchange, uint64_t retry_after_us,
+			     const char *cause);
+void exchange_finish_failed(struct exchange *exchange, uint16_t status,
+			    const char *cause);
+void exchange_finish_denied(struct exchange *exchange, uint16_t status,
+			    const char *cause);
+
+/* Whether the request may be sent now. */
+enum exchange_admission {
+	EXCHANGE_RUN,
+	EXCHANGE_WAIT, /* for choice.hold_us */
+	EXCHANGE_REFUSE, /* with choice.retry_after_us and a cause */
+};
+
+/*
+ * exchange_suspect.c: requests suspected of crashing backend servers.
+ * exchange_may_run() decides whether this one may be sent. The others record
+ * that its run at the chosen server starts, ends, got an answer, or broke off
+ * with its connection.
+ */
+enum exchange_admission exchange_may_run(struct exchange *exchange,
+					 const char **cause);
+void exchange_record_run_start(struct exchange *exchange);
+void exchange_record_run_end(struct exchange *exchange);
+void exchange_record_answered(struct exchange *exchange);
+void exchange_record_broken_run(struct exchange *exchange, const char *cause);
+
+#endif
