--- a/packages/edge/admin_show.c
+++ b/packages/edge/admin_show.c
@@ -336,15 +336,15 @@
 	static const char *const columns[] = { "table", "row_version", "whole",
 					       "confirmed_age_us", "failures" };
 	struct admin_table table = ADMIN_TABLE_NEW(columns);
-	struct sync_view views[SYNC_TABLES];
-	uint32_t count = edge->sync ? sync_views(edge->sync, views) : 0;
+	struct sync_table_state views[SYNC_TABLES];
+	uint32_t count = edge->sync ? sync_table_states(edge->sync, views) : 0;
 	uint32_t i;
 
 	for (i = 0; i < count; i++) {
 		json_t *const values[] = {
 			json_string(views[i].name),
 			admin_json_number(views[i].version),
-			json_boolean(views[i].whole),
+			json_boolean(views[i].loaded),
 			age(views[i].confirmed_us, edge_now_us(edge)),
 			admin_json_number(views[i].failures),
 		};
--- a/packages/edge/admin_suspects.c
+++ b/packages/edge/admin_suspects.c
@@ -114,6 +114,6 @@
 	if (edge->gossip)
 		gossip_tell_words(edge->gossip);
 	if (edge->quarantines)
-		quarantine_store_keep(edge->quarantines, query->fingerprint);
+		quarantine_store_write(edge->quarantines, query->fingerprint);
 	return done(query);
 }
--- a/packages/edge/backend_row.c
+++ b/packages/edge/backend_row.c
@@ -29,7 +29,7 @@
 	row->cold_left_ms = cold_left_ms(backend, now_us);
 }
 
-void backend_row_take(struct edge *edge, const struct beat_row *row)
+void backend_row_receive(struct edge *edge, const struct beat_row *row)
 {
 	const struct backend_facts facts = {
 		.id = row->id,
--- a/packages/edge/backend_row.h
+++ b/packages/edge/backend_row.h
@@ -16,7 +16,7 @@
 		      struct beat_row *row);
 
 /* Put what a neighbour says into the table. */
-void backend_row_take(struct edge *edge, const struct beat_row *row);
+void backend_row_receive(struct edge *edge, const struct beat_row *row);
 
 #ifdef __cplusplus
 }
--- a/packages/edge/crash_watch.c
+++ b/packages/edge/crash_watch.c
@@ -197,7 +197,7 @@
 	if (edge->gossip)
 		gossip_tell_words(edge->gossip);
 	if (suspect->rounds && edge->quarantines)
-		quarantine_store_keep(edge->quarantines, one->fingerprint);
+		quarantine_store_write(edge->quarantines, one->fingerprint);
 }
 
 static void forget(struct crash_watch *watch, uint32_t at)
--- a/packages/edge/edge.c
+++ b/packages/edge/edge.c
@@ -109,7 +109,7 @@
 	 * not take the whole allowance for its own.
 	 */
 	uint32_t nodes = MAX(member_table_count(edge->members),
-			     edge->settings.nodes_least);
+			     edge->settings.min_nodes);
 
 	return extra_budget_take(edge_budget(edge, service),
 				 &edge->settings.extra, nodes,
--- a/packages/edge/edge_settings.c
+++ b/packages/edge/edge_settings.c
@@ -13,7 +13,7 @@
 enum setting_kind {
 	KIND_NAME,
 	KIND_ENDPOINT,
-	KIND_SPAN, /* "250ms" */
+	KIND_DURATION, /* "250ms" */
 	KIND_COUNT, /* uint32_t */
 	KIND_NUMBER, /* text of a number, double */
 	KIND_LEVEL,
@@ -42,28 +42,28 @@
 	{ "listen", "operators", KIND_ENDPOINT, AT(operators), "" },
 	{ "listen", "peer", KIND_ENDPOINT, AT(peer), NULL },
 	{ "registry", "address", KIND_ENDPOINT, AT(registry), NULL },
-	{ "registry", "leave_within", KIND_SPAN, AT(leave_within_us),
+	{ "registry", "leave_within", KIND_DURATION, AT(leave_within_us),
 	  "2500ms" },
-	{ "registry", "config_within", KIND_SPAN, AT(config_within_us),
+	{ "registry", "config_within", KIND_DURATION, AT(config_within_us),
 	  "2500ms" },
 	{ "extra", "ratio", KIND_NUMBER, AT(extra.ratio), "0.1" },
 	{ "extra", "allowance", KIND_NUMBER, AT(extra.allowance), "20" },
-	{ "extra", "window", KIND_SPAN, AT(extra.window_us), "10s" },
-	{ "extra", "nodes_least", KIND_COUNT, AT(nodes_least), "1" },
-	{ "members", "forget", KIND_SPAN, AT(forget_us), "600s" },
-	{ "lookup", "keep", KIND_SPAN, AT(lookup_keep_us), "1s" },
-	{ "stop", "most", KIND_SPAN, AT(stop_most_us), "6s" },
+	{ "extra", "window", KIND_DURATION, AT(extra.window_us), "10s" },
+	{ "extra", "nodes_least", KIND_COUNT, AT(min_nodes), "1" },
+	{ "members", "forget", KIND_DURATION, AT(member_expiry_us), "600s" },
+	{ "lookup", "keep", KIND_DURATION, AT(lookup_keep_us), "1s" },
+	{ "stop", "most", KIND_DURATION, AT(max_stop_us), "6s" },
 	{ "log", "level", KIND_LEVEL, AT(log_level), "info" },
 };
 
-struct reading {
+struct settings_loader {
 	struct edge_settings *settings;
 	const char *path;
 	bool seen[G_N_ELEMENTS(setting_list)];
 };
 
-static bool invalid(GError **error, const char *path, uint32_t line,
-		    const char *key, const char *allowed)
+static bool set_invalid(GError **error, const char *path, uint32_t line,
+			const char *key, const char *allowed)
 {
 	g_set_error(error, RESULT_ERROR, RESULT_SETTINGS_INVALID,
 		    "%s:%u: %s: must be %s", path, line, key, allowed);
@@ -87,7 +87,7 @@
 	return "an IPv4 address and a port, as 10.0.0.1:8080";
 }
 
-static const char *store_span(void *at, const char *text)
+static const char *store_duration(void *at, const char *text)
 {
 	if (duration_parse(text, at) && *(uint64_t *)at)
 		return NULL;
@@ -140,8 +140,8 @@
 		return store_name(at, text);
 	case KIND_ENDPOINT:
 		return store_endpoint(at, text);
-	case KIND_SPAN:
-		return store_span(at, text);
+	case KIND_DURATION:
+		return store_duration(at, text);
 	case KIND_COUNT:
 		return store_count(at, text);
 	case KIND_NUMBER:
@@ -167,71 +167,77 @@
 
 static bool visit(void *context, const struct toml_value *value, GError **error)
 {
-	struct reading *reading = context;
+	struct settings_loader *settings_loader = context;
 	const char *allowed;
 	int i;
 
 	if (value->type != TOML_STRING)
-		return invalid(error, reading->path, value->line, value->key,
-			       "a text in quotes");
+		return set_invalid(error, settings_loader->path, value->line,
+				   value->key, "a text in quotes");
 	if (!strcmp(value->table, "domains")) {
-		g_hash_table_insert(reading->settings->regions,
+		g_hash_table_insert(settings_loader->settings->regions,
 				    g_strdup(value->key),
 				    g_strdup(value->string));
 		return true;
 	}
 	i = find_setting(value);
 	if (i < 0)
-		return invalid(error, reading->path, value->line, value->key,
-			       "a key that docs/SETTINGS.md lists");
-	reading->seen[i] = true;
-	allowed = store(reading->settings, &setting_list[i], value->string);
-	return !allowed ||
-	       invalid(error, reading->path, value->line, value->key, allowed);
+		return set_invalid(error, settings_loader->path, value->line,
+				   value->key,
+				   "a key that docs/SETTINGS.md lists");
+	settings_loader->seen[i] = true;
+	allowed = store(settings_loader->settings, &setting_list[i],
+			value->string);
+	return !allowed || set_invalid(error, settings_loader->path,
+				       value->line, value->key, allowed);
 }
 
-static bool complete(const struct reading *reading, GError **error)
+static bool apply_defaults(const struct settings_loader *settings_loader,
+			   GError **error)
 {
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(setting_list); i++) {
 		const struct setting *setting = &setting_list[i];
 
-		if (reading->seen[i])
+		if (settings_loader->seen[i])
 			continue;
 		if (!setting->fallback) {
 			g_set_error(error, RESULT_ERROR,
 				    RESULT_SETTINGS_INVALID,
-				    "%s: [%s] %s is missing", reading->path,
-				    setting->table, setting->key);
+				    "%s: [%s] %s is missing",
+				    settings_loader->path, setting->table,
+				    setting->key);
 			return false;
 		}
-		store(reading->settings, setting, setting->fallback);
+		store(settings_loader->settings, setting, setting->fallback);
 	}
 	/* Each failure domain has entry VMs of its own. */
-	reading->settings->nodes_least =
-		MAX(reading->settings->nodes_least,
-		    g_hash_table_size(reading->settings->regions));
+	settings_loader->settings->min_nodes =
+		MAX(settings_loader->settings->min_nodes,
+		    g_hash_table_size(settings_loader->settings->regions));
 	return true;
 }
 
-static bool read_text(struct reading *reading, const char *text, size_t length,
-		      GError **error)
+static bool read_text(struct settings_loader *settings_loader, const char *text,
+		      size_t length, GError **error)
 {
 	if (length > FILE_MAX_BYTES) {
 		g_set_error(error, RESULT_ERROR, RESULT_SETTINGS_INVALID,
-			    "%s: larger than %d bytes", reading->path,
+			    "%s: larger than %d bytes", settings_loader->path,
 			    FILE_MAX_BYTES);
 		return false;
 	}
-	return toml_visit(reading->path, text, length, visit, reading, error) &&
-	       complete(reading, error);
+	return toml_visit(settings_loader->path, text, length, visit,
+			  settings_loader, error) &&
+	       apply_defaults(settings_loader, error);
 }
 
 bool edge_settings_load(struct edge_settings *settings, const char *path,
 			GError **error)
 {
-	struct reading reading = { .settings = settings, .path = path };
+	struct settings_loader settings_loader = { .settings = settings,
+						   .path = path };
 	GError *cause = NULL;
 	char *text = NULL;
 	gsize length = 0;
@@ -246,7 +252,7 @@
 	}
 	settings->regions =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	good = read_text(&reading, text, length, error);
+	good = read_text(&settings_loader, text, length, error);
 	g_free(text);
 	if (!good)
 		edge_settings_release(settings);
--- a/packages/edge/edge_settings.h
+++ b/packages/edge/edge_settings.h
@@ -41,10 +41,10 @@
 	uint64_t leave_within_us; /* a leaving server gets nothing after that */
 	uint64_t config_within_us; /* a change is in force by then */
 	struct extra_budget_rule extra;
-	uint32_t nodes_least; /* nodes that are there at least */
-	uint64_t forget_us; /* a node silent for so long is struck off */
+	uint32_t min_nodes; /* nodes that are there at least */
+	uint64_t member_expiry_us; /* a node silent for so long is struck off */
 	uint64_t lookup_keep_us; /* how long callers may keep a look-up */
-	uint64_t stop_most_us; /* a stop is over by then, whatever runs */
+	uint64_t max_stop_us; /* a stop is over by then, whatever runs */
 	char log_level[NAME_SIZE];
 	GHashTable *regions; /* failure domain -> region */
 };
--- a/packages/edge/exchange_suspect.c
+++ b/packages/edge/exchange_suspect.c
@@ -207,7 +207,8 @@
 	suspect_cleared(edge->suspects, exchange->fingerprint,
 			exchange_now_us(exchange));
 	if (was_quarantined && edge->quarantines)
-		quarantine_store_keep(edge->quarantines, exchange->fingerprint);
+		quarantine_store_write(edge->quarantines,
+				       exchange->fingerprint);
 }
 
 /*
--- a/packages/edge/gossip.c
+++ b/packages/edge/gossip.c
@@ -117,7 +117,7 @@
 			  "backend=%s left=%s draining=%s cold_left_ms=%u",
 			  row->id, *row->service ? "no" : "yes",
 			  row->draining ? "yes" : "no", row->cold_left_ms);
-		backend_row_take(edge, row);
+		backend_row_receive(edge, row);
 	}
 }
 
@@ -134,7 +134,7 @@
 		return;
 	take_rows(edge, beat);
 	for (i = 0; gossip->sync && i < beat->vouch_count; i++)
-		sync_vouched(gossip->sync, &beat->vouches[i]);
+		sync_receive_digest(gossip->sync, &beat->vouches[i]);
 }
 
 /* Peers use one port everywhere; the sender's own is another for its sends. */
@@ -144,7 +144,7 @@
 
 	if (!uv_ip4_name((const struct sockaddr_in *)from, neighbour.address,
 			 sizeof(neighbour.address)))
-		sync_heard_neighbour(gossip->sync, &neighbour);
+		sync_receive_peer_address(gossip->sync, &neighbour);
 }
 
 /* Whether the loop stood still since it was here last. */
--- a/packages/edge/gossip_send.c
+++ b/packages/edge/gossip_send.c
@@ -331,7 +331,8 @@
 	add_loads(edge, &beat);
 	move_news(edge->warmth.news, &beat, edge_now_us(edge));
 	if (gossip->sync && gossip_reads_for_others(gossip))
-		beat.vouch_count = sync_vouches(gossip->sync, beat.vouches);
+		beat.vouch_count =
+			sync_fill_digests(gossip->sync, beat.vouches);
 	send_near(gossip, &beat);
 }
 
--- a/packages/edge/gossip_words.c
+++ b/packages/edge/gossip_words.c
@@ -70,7 +70,7 @@
 
 	suspect_table_expire(edge->suspects, now_us);
 	if (edge->quarantines)
-		quarantine_store_review(edge->quarantines);
+		quarantine_store_remove_lifted(edge->quarantines);
 	gossip_sign(gossip, &beat);
 	beat.suspect_count = suspect_words(edge->suspects,
 					   edge->members->self->hash, now_us,
@@ -155,7 +155,7 @@
 		  word->fingerprint, word->crash_count, word->rounds,
 		  word->by_hand ? "yes" : "no", word->left_us);
 	if (suspect->seen_here && edge->quarantines)
-		quarantine_store_keep(edge->quarantines, word->fingerprint);
+		quarantine_store_write(edge->quarantines, word->fingerprint);
 }
 
 void gossip_take_words(struct gossip *gossip, const struct beat *beat)
--- a/packages/edge/quarantine_store.c
+++ b/packages/edge/quarantine_store.c
@@ -12,7 +12,7 @@
 #define CALL_TIMEOUT_US (1000 * US_PER_MS)
 
 /* Rows that wait to be written; more than servers crash in a store's outage. */
-#define WAITING_MOST 64
+#define MAX_PENDING_ROWS 64
 
 /* 16 hexadecimal digits and the NUL. */
 #define KEY_SIZE 17
@@ -22,22 +22,24 @@
 	struct lane lane;
 	uv_timer_t timer;
 	bool members_known; /* and so who reads */
-	bool is_read; /* the rows were read, or others of the region do it */
+	bool read_done; /* the rows were read, or others of the region do it */
 	char *page_key; /* last key of the pages read so far; NULL: none */
 	uint32_t rows; /* in these */
-	uint64_t waiting[WAITING_MOST]; /* fingerprints of rows to be written */
-	uint32_t waiting_count;
+	uint64_t pending[MAX_PENDING_ROWS]; /* fingerprints of rows to be
+					       written */
+	uint32_t pending_count;
 	uint64_t writing; /* of these, the one whose call is out */
 	bool changed; /* it changed since that call was made */
-	uint64_t kept[WAITING_MOST]; /* fingerprints whose rows this node wrote
-				      */
-	uint32_t kept_count;
+	uint64_t own_rows[MAX_PENDING_ROWS]; /* fingerprints whose rows this
+					      * node wrote
+					      */
+	uint32_t own_row_count;
 	uint32_t failures; /* of calls, in a row */
 };
 
 static void step(struct quarantine_store *store);
 
-static uint64_t real_ms(void)
+static uint64_t wall_clock_ms(void)
 {
 	return (uint64_t)g_get_real_time() / 1000;
 }
@@ -74,32 +76,32 @@
 	record->rounds = suspect->rounds;
 	if (suspect->until_us > now_us)
 		record->left_ms = (suspect->until_us - now_us) / US_PER_MS;
-	record->written_ms = real_ms();
+	record->written_ms = wall_clock_ms();
 	record->by_hand = suspect->by_hand;
 	for (i = 0; i < MIN(suspect->crash_count, QUARANTINE_LIVES); i++)
 		record->lives[record->life_count++] = suspect->crashes[i].life;
 	record->request = (char *)suspect->text;
 }
 
-static void note_kept(struct quarantine_store *store, uint64_t fingerprint)
+static void add_own_row(struct quarantine_store *store, uint64_t fingerprint)
 {
 	uint32_t i;
 
-	for (i = 0; i < store->kept_count; i++)
-		if (store->kept[i] == fingerprint)
+	for (i = 0; i < store->own_row_count; i++)
+		if (store->own_rows[i] == fingerprint)
 			return;
-	if (store->kept_count < WAITING_MOST)
-		store->kept[store->kept_count++] = fingerprint;
+	if (store->own_row_count < MAX_PENDING_ROWS)
+		store->own_rows[store->own_row_count++] = fingerprint;
 }
 
-static void forget_written(struct quarantine_store *store)
+static void remove_written(struct quarantine_store *store)
 {
 	uint32_t i;
 
-	for (i = 0; i < store->waiting_count; i++)
-		if (store->waiting[i] == store->writing)
-			store->waiting[i] =
-				store->waiting[--store->waiting_count];
+	for (i = 0; i < store->pending_count; i++)
+		if (store->pending[i] == store->writing)
+			store->pending[i] =
+				store->pending[--store->pending_count];
 	store->writing = 0;
 }
 
@@ -114,7 +116,7 @@
 	}
 	store->failures = 0;
 	if (!store->changed)
-		forget_written(store);
+		remove_written(store);
 	step(store);
 }
 
@@ -127,13 +129,13 @@
 	struct registry_call call;
 	char key[KEY_SIZE];
 
-	store->writing = store->waiting[0];
+	store->writing = store->pending[0];
 	store->changed = false;
 	suspect = suspect_table_find(edge->suspects, store->writing);
 	g_snprintf(key, sizeof(key), "%016" PRIx64, store->writing);
 	if (suspect && suspect->rounds) {
 		fill_record(suspect, edge_now_us(edge), &record);
-		note_kept(store, store->writing);
+		add_own_row(store, store->writing);
 	}
 	registry->vtable->put_quarantine(
 		registry, key, suspect && suspect->rounds ? &record : NULL,
@@ -144,65 +146,67 @@
 	registry_call_release(&call);
 }
 
-void quarantine_store_keep(struct quarantine_store *store, uint64_t fingerprint)
+void quarantine_store_write(struct quarantine_store *store,
+			    uint64_t fingerprint)
 {
 	uint32_t i;
 
 	if (fingerprint == store->writing)
 		store->changed = true;
-	for (i = 0; i < store->waiting_count; i++)
-		if (store->waiting[i] == fingerprint)
+	for (i = 0; i < store->pending_count; i++)
+		if (store->pending[i] == fingerprint)
 			return;
-	if (store->waiting_count == WAITING_MOST)
+	if (store->pending_count == MAX_PENDING_ROWS)
 		return;
-	store->waiting[store->waiting_count++] = fingerprint;
+	store->pending[store->pending_count++] = fingerprint;
 	step(store);
 }
 
-void quarantine_store_review(struct quarantine_store *store)
+void quarantine_store_remove_lifted(struct quarantine_store *store)
 {
 	uint32_t i;
 
-	for (i = store->kept_count; i > 0; i--) {
-		uint64_t fingerprint = store->kept[i - 1];
+	for (i = store->own_row_count; i > 0; i--) {
+		uint64_t fingerprint = store->own_rows[i - 1];
 
 		if (suspect_is_quarantined(store->edge->suspects, fingerprint))
 			continue;
-		store->kept[i - 1] = store->kept[--store->kept_count];
+		store->own_rows[i - 1] =
+			store->own_rows[--store->own_row_count];
 		log_event(LOG_WARNING, "quarantine-lifted",
 			  "fingerprint=%016" PRIx64, fingerprint);
-		quarantine_store_keep(store, fingerprint);
+		quarantine_store_write(store, fingerprint);
 	}
 }
 
 /* --- reading ------------------------------------------------------------ */
 
 /* Clocks of two nodes differ by little against a quarantine. */
-static uint64_t passed_ms(const struct quarantine_record *record)
+static uint64_t elapsed_ms(const struct quarantine_record *record)
 {
-	uint64_t now_ms = real_ms();
+	uint64_t now_ms = wall_clock_ms();
 
 	return now_ms > record->written_ms ? now_ms - record->written_ms : 0;
 }
 
 static uint64_t left_us(const struct quarantine_record *record)
 {
-	uint64_t ms = passed_ms(record);
+	uint64_t ms = elapsed_ms(record);
 
 	return ms < record->left_ms ? (record->left_ms - ms) * US_PER_MS : 0;
 }
 
 /* Ended for so long that nodes have forgotten it. */
-static bool is_over(const struct quarantine_record *record)
+static bool is_expired(const struct quarantine_record *record)
 {
-	uint64_t ms = passed_ms(record);
+	uint64_t ms = elapsed_ms(record);
 
 	return ms >= record->left_ms &&
 	       ms - record->left_ms >= SUSPECT_KEEP_US / US_PER_MS;
 }
 
-static bool take_record(struct edge *edge, uint64_t fingerprint,
-			const struct quarantine_record *record)
+static bool import_record(struct edge *edge, uint64_t fingerprint,
+			  const struct quarantine_record *record)
 {
 	struct suspect_word word = {
 		.fingerprint = fingerprint,
@@ -221,7 +225,8 @@
 			    edge->backends, edge_now_us(edge));
 }
 
-static void keep_text(struct edge *edge, uint64_t fingerprint, const char *text)
+static void set_request_text(struct edge *edge, uint64_t fingerprint,
+			     const char *text)
 {
 	struct suspect *suspect =
 		suspect_table_find(edge->suspects, fingerprint);
@@ -230,8 +235,8 @@
 		g_strlcpy(suspect->text, text, sizeof(suspect->text));
 }
 
-static void take_row(struct quarantine_store *store,
-		     const struct registry_row *row)
+static void import_row(struct quarantine_store *store,
+		       const struct registry_row *row)
 {
 	struct edge *edge = store->edge;
 	const struct registry *registry = edge->registry;
@@ -248,10 +253,10 @@
 		g_error_free(error);
 		return;
 	}
-	if (is_over(&record)) {
-		quarantine_store_keep(store, fingerprint);
-	} else if (take_record(edge, fingerprint, &record)) {
-		keep_text(edge, fingerprint, record.request);
+	if (is_expired(&record)) {
+		quarantine_store_write(store, fingerprint);
+	} else if (import_record(edge, fingerprint, &record)) {
+		set_request_text(edge, fingerprint, record.request);
 	} else {
 		log_event(LOG_WARNING, "quarantine-refused",
 			  "key=%s cause=absurd", row->key);
@@ -272,7 +277,7 @@
 					 .key);
 		return;
 	}
-	store->is_read = true;
+	store->read_done = true;
 	log_event(LOG_INFO, "table-read", "table=quarantines rows=%u",
 		  store->rows);
 }
@@ -299,8 +304,8 @@
 	}
 	store->failures = 0;
 	for (i = 0; i < rows.rows->len; i++)
-		take_row(store,
-			 &g_array_index(rows.rows, struct registry_row, i));
+		import_row(store,
+			   &g_array_index(rows.rows, struct registry_row, i));
 	end_page(store, &rows);
 	registry_rows_release(&rows);
 	step(store);
@@ -327,14 +332,14 @@
 	if (lane_is_busy(&store->lane))
 		return;
 	/* Before the members are known, nobody knows who reads. */
-	if (!store->is_read && !store->members_known)
+	if (!store->read_done && !store->members_known)
 		return;
-	if (!store->is_read &&
+	if (!store->read_done &&
 	    member_table_read_rank(edge->members) >= READ_FIRST_NODES)
-		store->is_read = true;
-	if (!store->is_read)
+		store->read_done = true;
+	if (!store->read_done)
 		read_rows(store);
-	else if (store->waiting_count)
+	else if (store->pending_count)
 		write_row(store);
 }
 
@@ -362,13 +367,13 @@
 void quarantine_store_members_known(struct quarantine_store *store)
 {
 	store->members_known = true;
-	if (!store->is_read)
+	if (!store->read_done)
 		step(store);
 }
 
 bool quarantine_store_is_reading(const struct quarantine_store *store)
 {
-	return !store->is_read && !store->failures &&
+	return !store->read_done && !store->failures &&
 	       lane_is_busy(&store->lane);
 }
 
--- a/packages/edge/quarantine_store.h
+++ b/packages/edge/quarantine_store.h
@@ -22,14 +22,14 @@
 void quarantine_store_close(struct quarantine_store *store);
 
 /* Write the row anew: the quarantine began, goes on, or was ended. */
-void quarantine_store_keep(struct quarantine_store *store,
-			   uint64_t fingerprint);
+void quarantine_store_write(struct quarantine_store *store,
+			    uint64_t fingerprint);
 
 /*
  * Remove rows that this node wrote for requests that aren't quarantined any
  * more: what other nodes told since may speak for them.
  */
-void quarantine_store_review(struct quarantine_store *store);
+void quarantine_store_remove_lifted(struct quarantine_store *store);
 
 /* The nodes of the region are known, and so who reads. */
 void quarantine_store_members_known(struct quarantine_store *store);
--- a/packages/edge/run.c
+++ b/packages/edge/run.c
@@ -76,12 +76,12 @@
 	bool moved = !same_endpoint(&current->registry, &fresh->registry);
 
 	current->extra = fresh->extra;
-	current->nodes_least = fresh->nodes_least;
-	current->forget_us = fresh->forget_us;
+	current->min_nodes = fresh->min_nodes;
+	current->member_expiry_us = fresh->member_expiry_us;
 	current->leave_within_us = fresh->leave_within_us;
 	current->config_within_us = fresh->config_within_us;
 	current->lookup_keep_us = fresh->lookup_keep_us;
-	current->stop_most_us = fresh->stop_most_us;
+	current->max_stop_us = fresh->max_stop_us;
 	current->registry = fresh->registry;
 	if (moved)
 		redirect(run);
@@ -143,11 +143,11 @@
 	uint64_t passed_us = edge_now_us(edge) - edge->stopping_us;
 	uint64_t taking_us = STOP_LOOKUPS * edge->settings.lookup_keep_us;
 
-	taking_us = MIN(taking_us, edge->settings.stop_most_us / 2);
+	taking_us = MIN(taking_us, edge->settings.max_stop_us / 2);
 	if (passed_us < taking_us)
 		return;
 	if (callers_are_unread(edge) &&
-	    passed_us + STOP_MARGIN_US <= edge->settings.stop_most_us)
+	    passed_us + STOP_MARGIN_US <= edge->settings.max_stop_us)
 		return;
 	if (!run->front_closed) {
 		run->front_closed = true;
@@ -158,7 +158,7 @@
 		log_event(LOG_INFO, "stop-ends", "whole=yes took_us=%" PRIu64,
 			  passed_us);
 		close_all(run);
-	} else if (passed_us + STOP_MARGIN_US > edge->settings.stop_most_us) {
+	} else if (passed_us + STOP_MARGIN_US > edge->settings.max_stop_us) {
 		log_event(LOG_WARNING, "stop-ends",
 			  "whole=no in_flight=%u took_us=%" PRIu64,
 			  edge->exchanges, passed_us);
@@ -224,7 +224,7 @@
 	note_readiness(run);
 	if (now_us - run->settings_us > SETTINGS_EVERY_US) {
 		reload_settings(run);
-		sync_strike_lost(run->sync);
+		sync_remove_lost_member(run->sync);
 	}
 	if (edge->stopping)
 		go_on_stopping(run);
--- a/packages/edge/sync.c
+++ b/packages/edge/sync.c
@@ -6,17 +6,17 @@
  * A beat's word doesn't count its own way: one way of a continent's width, and
  * a queue of half of that time and a quarter of a second on a narrow link.
  */
-#define BEAT_UNDER_WAY_US (400 * US_PER_MS)
+#define HEARTBEAT_DELAY_US (400 * US_PER_MS)
 
 /*
  * Where all nodes start for the first time, each writes its row within this,
  * for a table takes some 200 writes a second, and reads the others' rows then.
  */
-#define FIRST_ROW_SPREAD_US (1500 * US_PER_MS)
-#define FIRST_MEMBERS_US (2 * US_PER_S)
+#define FIRST_ROW_JITTER_US (1500 * US_PER_MS)
+#define FIRST_MEMBERS_DELAY_US (2 * US_PER_S)
 
 /* Written anyway after so long, where the table can't be read. */
-#define OWN_ROW_LATEST_US (1500 * US_PER_MS)
+#define OWN_ROW_MAX_DELAY_US (1500 * US_PER_MS)
 
 static void follower_open(struct follower *follower, struct sync *sync,
 			  const struct follow_rule *rule)
@@ -30,7 +30,7 @@
 	follower->rows =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	lane_init(&follower->lane, edge->loop, &edge->settings.registry,
-		  rule->arrival_most_us);
+		  rule->max_transfer_us);
 	uv_timer_init(edge->loop, &follower->timer);
 	follower->timer.data = follower;
 }
@@ -39,16 +39,16 @@
  * The members' table comes first, for it says whom to ask for the others. Where
  * all nodes start for the first time it is empty until they have written it.
  */
-static void begin_start(struct sync *sync)
+static void schedule_first_steps(struct sync *sync)
 {
 	struct edge *edge = sync->edge;
 	uint64_t members_us = 0;
-	uint64_t own_us = OWN_ROW_LATEST_US;
+	uint64_t own_us = OWN_ROW_MAX_DELAY_US;
 	uint32_t i;
 
 	if (edge->settings.first_start) {
-		members_us = FIRST_MEMBERS_US;
-		own_us = (uint64_t)(g_random_double() * FIRST_ROW_SPREAD_US);
+		members_us = FIRST_MEMBERS_DELAY_US;
+		own_us = (uint64_t)(g_random_double() * FIRST_ROW_JITTER_US);
 	}
 	sync->started_us = edge_now_us(edge) + members_us;
 	sync_write_own_row_later(sync, own_us);
@@ -64,14 +64,14 @@
 	sync->edge = edge;
 	edge->sync = sync;
 	lane_init(&sync->own_lane, edge->loop, &edge->settings.registry,
-		  SYNC_ARRIVAL_MOST_US);
-	lane_init(&sync->neighbour, edge->loop, &edge->settings.peer,
-		  SYNC_ARRIVAL_MOST_US);
+		  SYNC_MAX_TRANSFER_US);
+	lane_init(&sync->peer_lane, edge->loop, &edge->settings.peer,
+		  SYNC_MAX_TRANSFER_US);
 	uv_timer_init(edge->loop, &sync->own_timer);
 	sync->own_timer.data = sync;
 	for (i = 0; i < FOLLOWERS; i++)
 		follower_open(&sync->followers[i], sync, &follow_rules[i]);
-	begin_start(sync);
+	schedule_first_steps(sync);
 	return sync;
 }
 
@@ -87,8 +87,8 @@
 		g_free(sync->followers[i].page_key);
 	}
 	lane_close(&sync->own_lane);
-	lane_close(&sync->neighbour);
-	g_clear_pointer(&sync->given, g_bytes_unref);
+	lane_close(&sync->peer_lane);
+	g_clear_pointer(&sync->snapshot, g_bytes_unref);
 	uv_close((uv_handle_t *)&sync->own_timer, NULL);
 }
 
@@ -101,7 +101,8 @@
 			follower_step_later(&sync->followers[i], 0);
 }
 
-uint32_t sync_views(const struct sync *sync, struct sync_view *views)
+uint32_t sync_table_states(const struct sync *sync,
+			   struct sync_table_state *views)
 {
 	uint32_t i;
 
@@ -110,7 +111,7 @@
 
 		views[i].name = follower->rule->name;
 		views[i].version = follower->version;
-		views[i].whole = follower->whole;
+		views[i].loaded = follower->loaded;
 		views[i].confirmed_us = follower->confirmed_us;
 		views[i].failures = follower->failures;
 	}
@@ -133,19 +134,21 @@
 	if (!sync)
 		return false;
 	follower = &sync->followers[REGISTRY_CONFIG];
-	return sync->edge->routes && follower->whole && !sync->routes_unread &&
-	       follower->doubted_us <= follower->confirmed_us &&
+	return sync->edge->routes && follower->loaded &&
+	       !sync->routes_unreadable &&
+	       follower->mismatched_us <= follower->confirmed_us &&
 	       !lane_is_receiving(&follower->lane) &&
-	       sync_routes_age_us(sync) + BEAT_UNDER_WAY_US <=
+	       sync_routes_age_us(sync) + HEARTBEAT_DELAY_US <=
 		       sync->edge->settings.config_within_us;
 }
 
-uint64_t sync_lapse_left_us(const struct sync *sync)
+uint64_t sync_expiry_grace_left_us(const struct sync *sync)
 {
 	uint64_t now_us = edge_now_us(sync->edge);
 
-	return sync->lapse_until_us > now_us ? sync->lapse_until_us - now_us :
-					       0;
+	return sync->expiry_grace_until_us > now_us ?
+		       sync->expiry_grace_until_us - now_us :
+		       0;
 }
 
 void sync_redirect(struct sync *sync, const struct endpoint *to)
--- a/packages/edge/sync.h
+++ b/packages/edge/sync.h
@@ -25,16 +25,17 @@
 #define SYNC_TABLES 3
 
 /* How a table stands. */
-struct sync_view {
+struct sync_table_state {
 	const char *name;
 	uint64_t version; /* of the newest row known */
-	bool whole; /* it was read whole */
+	bool loaded; /* it was read whole */
 	uint64_t confirmed_us; /* when the platform last confirmed it */
 	uint32_t failures; /* of calls, in a row */
 };
 
 /* Fill in SYNC_TABLES views; returns how many. */
-uint32_t sync_views(const struct sync *sync, struct sync_view *views);
+uint32_t sync_table_states(const struct sync *sync,
+			   struct sync_table_state *views);
 
 /*
  * How long ago the platform's word, one's own or a neighbour's, confirmed the
@@ -52,7 +53,7 @@
 bool sync_may_deny(const struct sync *sync);
 
 /* For how long missing backend servers are still taken for lapsed ones. */
-uint64_t sync_lapse_left_us(const struct sync *sync);
+uint64_t sync_expiry_grace_left_us(const struct sync *sync);
 
 /*
  * One node of a region reads the tables for all of it. It vouches for what it
@@ -60,8 +61,8 @@
  * word by it, up to the same version, and calls the platform itself only where
  * digests differ or the word grows old.
  */
-uint32_t sync_vouches(const struct sync *sync, struct beat_vouch *vouches);
-void sync_vouched(struct sync *sync, const struct beat_vouch *vouch);
+uint32_t sync_fill_digests(const struct sync *sync, struct beat_vouch *vouches);
+void sync_receive_digest(struct sync *sync, const struct beat_vouch *vouch);
 
 /*
  * What this node knows of the tables (a sum of SNAPSHOT_TABLE()), for a
@@ -73,7 +74,7 @@
  * A neighbour beats from there. Where this node can't reach the platform and
  * knows too little to serve, it asks the neighbour for its snapshot.
  */
-void sync_heard_neighbour(struct sync *sync, const struct endpoint *from);
+void sync_receive_peer_address(struct sync *sync, const struct endpoint *from);
 
 /*
  * The node has become ready: it may read for its region from now on, and looks
@@ -89,7 +90,7 @@
  * one: nodes are replaced every day, and rows of those that are gone would take
  * their parts of the extra requests and of cold servers for ever.
  */
-void sync_strike_lost(struct sync *sync);
+void sync_remove_lost_member(struct sync *sync);
 
 /* The platform has another address. */
 void sync_redirect(struct sync *sync, const struct endpoint *to);
--- a/packages/edge/sync_answer.c
+++ b/packages/edge/sync_answer.c
@@ -13,10 +13,10 @@
  * the part of entries that are missing: where most are there the platform
  * wasn't away, or has long been back, and a missing server has left.
  */
-#define LAPSE_KEEP_US (2200 * US_PER_MS)
+#define EXPIRY_GRACE_US (2200 * US_PER_MS)
 
 /* An answer's first byte was under way for no longer than this. */
-#define UNDER_WAY_US (100 * US_PER_MS)
+#define MAX_FIRST_BYTE_DELAY_US (100 * US_PER_MS)
 
 /* After an answer that was cut short, or a page of a table, at once. */
 static void call_next(struct follower *follower,
@@ -25,11 +25,11 @@
 	uint64_t since_us =
 		edge_now_us(follower->sync->edge) - follower->called_us;
 	uint64_t spacing =
-		follower->whole ?
-			follower_time_us(follower, &follower->rule->spacing) :
+		follower->loaded ?
+			follower_time_us(follower, &follower->rule->interval) :
 			0;
 
-	if (follower->whole && rows->has_more) {
+	if (follower->loaded && rows->has_more) {
 		follower_call(follower);
 		return;
 	}
@@ -37,9 +37,9 @@
 			    spacing > since_us ? spacing - since_us : 0);
 }
 
-static void begin_whole_read(struct follower *follower)
+static void begin_full_read(struct follower *follower)
 {
-	follower->whole = false;
+	follower->loaded = false;
 	g_clear_pointer(&follower->page_key, g_free);
 	g_hash_table_remove_all(follower->seen);
 }
@@ -56,24 +56,24 @@
 	for (i = 0; i < rows->rows->len; i++)
 		if (g_array_index(rows->rows, struct registry_row, i).deleted)
 			deleted++;
-	if (follower->whole)
+	if (follower->loaded)
 		return MIN(deleted, known);
 	return known - MIN(rows->rows->len - deleted, known);
 }
 
-static void weigh_lapse(struct follower *follower,
-			const struct registry_rows *rows)
+static void set_expiry_grace(struct follower *follower,
+			     const struct registry_rows *rows)
 {
 	struct sync *sync = follower->sync;
 	uint32_t known = g_hash_table_size(sync->edge->backends->by_id);
 	uint32_t missing = count_missing(follower, rows);
 
-	sync->was_away = false;
+	sync->platform_was_away = false;
 	if (!known)
 		return;
-	sync->lapse_until_us =
+	sync->expiry_grace_until_us =
 		edge_now_us(sync->edge) +
-		(uint64_t)((double)missing / known * LAPSE_KEEP_US);
+		(uint64_t)((double)missing / known * EXPIRY_GRACE_US);
 	log_event(LOG_INFO, "lapse-weighed", "known=%u missing=%u", known,
 		  missing);
 }
@@ -104,15 +104,16 @@
 	struct sync *sync = follower->sync;
 	guint i;
 
-	if (follower->rule->table == REGISTRY_BACKENDS && sync->was_away)
-		weigh_lapse(follower, rows);
+	if (follower->rule->table == REGISTRY_BACKENDS &&
+	    sync->platform_was_away)
+		set_expiry_grace(follower, rows);
 	for (i = 0; i < rows->rows->len; i++) {
 		const struct registry_row *row =
 			&g_array_index(rows->rows, struct registry_row, i);
 
 		if (!row->deleted && !row->value)
 			continue;
-		if (!follower->whole)
+		if (!follower->loaded)
 			g_hash_table_add(follower->seen, g_strdup(row->key));
 		follower_keep_row(follower, row);
 		follower->rule->apply(follower->sync, row);
@@ -125,10 +126,11 @@
  * what was acknowledged meanwhile denied for as much longer than it may. The
  * same holds for one that waited in its socket while the process stood still.
  */
-static uint64_t answered_by_us(const struct follower *follower)
+static uint64_t answer_as_of_us(const struct follower *follower)
 {
 	uint64_t came_us = edge_came_by_us(follower->sync->edge);
-	uint64_t passed_us = lane_arrival_us(&follower->lane) + UNDER_WAY_US;
+	uint64_t passed_us =
+		lane_arrival_us(&follower->lane) + MAX_FIRST_BYTE_DELAY_US;
 
 	return MAX(follower->called_us, came_us - MIN(came_us, passed_us));
 }
@@ -143,7 +145,7 @@
  * The other nodes are known: this node makes itself known where it isn't yet,
  * and can tell whom to ask for the rest.
  */
-static void know_members(struct sync *sync)
+static void handle_members_loaded(struct sync *sync)
 {
 	uint32_t i;
 
@@ -153,7 +155,7 @@
 		return;
 	sync->started_us = edge_now_us(sync->edge);
 	for (i = 0; i < FOLLOWERS; i++)
-		if (!sync->followers[i].whole)
+		if (!sync->followers[i].loaded)
 			follower_step_later(&sync->followers[i], 0);
 }
 
@@ -166,26 +168,26 @@
 	log_event(LOG_INFO, "table-read", "table=%s rows=%u version=%" PRIu64,
 		  follower->rule->name, g_hash_table_size(follower->seen),
 		  version);
-	begin_whole_read(follower);
-	follower->whole = true;
-	follower->asks = 0;
+	begin_full_read(follower);
+	follower->loaded = true;
+	follower->peer_attempts = 0;
 	confirm(follower, as_of_us);
 	if (follower->rule->table == REGISTRY_MEMBERS)
-		know_members(follower->sync);
+		handle_members_loaded(follower->sync);
 	if (follower->rule->table == REGISTRY_MEMBERS &&
 	    follower->sync->edge->quarantines)
 		quarantine_store_members_known(
 			follower->sync->edge->quarantines);
 }
 
-static void take_page(struct follower *follower,
-		      const struct registry_rows *rows)
+static void apply_page(struct follower *follower,
+		       const struct registry_rows *rows)
 {
 	const struct registry_row *last;
 
 	if (!follower->page_key) {
 		follower->page_version = rows->version;
-		follower->page_as_of_us = answered_by_us(follower);
+		follower->page_as_of_us = answer_as_of_us(follower);
 	}
 	/*
 	 * A replica that lags gives a table as it was: taken for news, it would
@@ -212,7 +214,7 @@
  * arriving isn't waiting: it may be what fills the link and made the short call
  * late, and cut off it begins anew. Its own silence ends it.
  */
-static void abort_waiting(struct sync *sync, const struct follower *but)
+static void abort_held_calls(struct sync *sync, const struct follower *but)
 {
 	uint32_t i;
 
@@ -228,7 +230,7 @@
 {
 	uint32_t i;
 
-	abort_waiting(sync, but);
+	abort_held_calls(sync, but);
 	for (i = 0; i < FOLLOWERS; i++)
 		if (&sync->followers[i] != but &&
 		    !lane_is_busy(&sync->followers[i].lane))
@@ -248,8 +250,9 @@
 	/* Without a good answer for so long the platform counts as away. */
 	if (follower->rule->table == REGISTRY_BACKENDS &&
 	    follower->answered_us &&
-	    (follower->failures || gap_us > sync_change_within_us(sync->edge)))
-		sync->was_away = true;
+	    (follower->failures ||
+	     gap_us > sync_change_deadline_us(sync->edge)))
+		sync->platform_was_away = true;
 	if (follower->rule->table == REGISTRY_BACKENDS && follower->failures)
 		resume_others(sync, follower);
 	follower->answered_us = now_us;
@@ -271,7 +274,7 @@
 		  "table=%s cause=%s failures=%u whole=%s took_us=%" PRIu64
 		  " got_bytes=%" PRIu64 " confirmed_age_us=%" PRIu64,
 		  follower->rule->name, cause, follower->failures,
-		  follower->whole ? "yes" : "no", now_us - follower->called_us,
+		  follower->loaded ? "yes" : "no", now_us - follower->called_us,
 		  follower->lane.got_bytes, now_us - follower->confirmed_us);
 }
 
@@ -315,25 +318,25 @@
  * Changes up to some number of rows don't confirm what is believed: taken for
  * all, a node would hear of the next ones as late as if there were none.
  */
-static void take_changes(struct follower *follower,
-			 const struct registry_rows *rows)
+static void apply_changes(struct follower *follower,
+			  const struct registry_rows *rows)
 {
 	log_followed(follower, rows);
 	apply_rows(follower, rows);
 	follower->version = MAX(follower->version, rows->version);
 	if (!rows->has_more)
-		confirm(follower, answered_by_us(follower));
+		confirm(follower, answer_as_of_us(follower));
 }
 
 /*
  * The changes since hold each version of a large document, one after the other,
  * and the table only the newest.
  */
-static void read_anew(struct follower *follower)
+static void reread_table(struct follower *follower)
 {
 	metric_add(follower->sync->edge->stats.registry_lost_bytes,
 		   follower->lane.got_bytes);
-	begin_whole_read(follower);
+	begin_full_read(follower);
 	follower_call(follower);
 }
 
@@ -345,8 +348,8 @@
 	struct registry_rows rows = { 0 };
 	enum registry_result result;
 
-	if (!answer && follower->whole && !strcmp(cause, LINK_TOO_LARGE)) {
-		read_anew(follower);
+	if (!answer && follower->loaded && !strcmp(cause, LINK_TOO_LARGE)) {
+		reread_table(follower);
 		return;
 	}
 	if (!answer) {
@@ -354,7 +357,7 @@
 
 		note_failure(follower, cause);
 		if (silent && follower->rule->table == REGISTRY_BACKENDS)
-			abort_waiting(follower->sync, follower);
+			abort_held_calls(follower->sync, follower);
 		return;
 	}
 	result = edge->registry->vtable->decode(
@@ -365,12 +368,12 @@
 		metric_add(edge->stats.registry_bytes,
 			   follower->lane.got_bytes);
 		note_success(follower);
-		if (follower->overtaken) {
+		if (follower->superseded) {
 			/* A page, or rows older than what is known by now. */
-		} else if (!follower->whole) {
-			take_page(follower, &rows);
+		} else if (!follower->loaded) {
+			apply_page(follower, &rows);
 		} else {
-			take_changes(follower, &rows);
+			apply_changes(follower, &rows);
 		}
 		call_next(follower, &rows);
 		break;
@@ -379,7 +382,7 @@
 			  "table=%s after=%" PRIu64, follower->rule->name,
 			  follower->version);
 		note_success(follower);
-		begin_whole_read(follower);
+		begin_full_read(follower);
 		call_next(follower, &rows);
 		break;
 	default:
--- a/packages/edge/sync_neighbours.c
+++ b/packages/edge/sync_neighbours.c
@@ -13,15 +13,15 @@
  * A snapshot is given to all who ask within this, for most of them ask at once.
  * Its ages are told larger by it.
  */
-#define GIVEN_VALID_US (100 * US_PER_MS)
+#define SNAPSHOT_TTL_US (100 * US_PER_MS)
 
 /*
  * Until a neighbour's answer begins: one of this region is near, and another
  * one, or the platform, is asked instead.
  */
-#define ASK_TIMEOUT_US (300 * US_PER_MS)
+#define SNAPSHOT_TIMEOUT_US (300 * US_PER_MS)
 
-static bool is_unread(const struct follower *follower);
+static bool is_unreadable(const struct follower *follower);
 
 /* --- giving ------------------------------------------------------------- */
 
@@ -70,7 +70,7 @@
 	const struct snapshot_table table = {
 		.table = follower->rule->table,
 		.version = follower->version,
-		.age_ms = (uint32_t)MIN((age_us + GIVEN_VALID_US) / US_PER_MS,
+		.age_ms = (uint32_t)MIN((age_us + SNAPSHOT_TTL_US) / US_PER_MS,
 					UINT32_MAX),
 	};
 
@@ -92,7 +92,7 @@
 		const struct follower *follower = &sync->followers[i];
 
 		if (tables & SNAPSHOT_TABLE(follower->rule->table) &&
-		    follower->whole && !is_unread(follower))
+		    follower->loaded && !is_unreadable(follower))
 			add_table(follower, &writer);
 	}
 	return snapshot_end(&writer);
@@ -104,28 +104,28 @@
 	uint64_t now_us = edge_now_us(edge);
 	bool fits;
 
-	if (!sync->given || sync->given_tables != tables ||
-	    now_us - sync->given_us > GIVEN_VALID_US) {
-		g_clear_pointer(&sync->given, g_bytes_unref);
-		sync->given = make_snapshot(sync, tables);
-		sync->given_tables = tables;
-		sync->given_us = now_us;
+	if (!sync->snapshot || sync->snapshot_tables != tables ||
+	    now_us - sync->snapshot_us > SNAPSHOT_TTL_US) {
+		g_clear_pointer(&sync->snapshot, g_bytes_unref);
+		sync->snapshot = make_snapshot(sync, tables);
+		sync->snapshot_tables = tables;
+		sync->snapshot_us = now_us;
 	}
-	fits = read_may_give(&sync->giving_until_us,
-			     g_bytes_get_size(sync->given),
+	fits = read_may_give(&sync->link_busy_until_us,
+			     g_bytes_get_size(sync->snapshot),
 			     (uint32_t)edge->settings.link_mbps, now_us);
 	if (!fits)
 		return NULL;
 	metric_add(edge->stats.given, 1);
-	return g_bytes_ref(sync->given);
+	return g_bytes_ref(sync->snapshot);
 }
 
 /* --- asking ------------------------------------------------------------- */
 
 /* A snapshot as it is read. */
-struct taking {
+struct snapshot_import {
 	struct sync *sync;
-	bool takes[FOLLOWERS];
+	bool accepts[FOLLOWERS];
 	struct snapshot_table tables[FOLLOWERS];
 };
 
@@ -133,39 +133,40 @@
  * A table is taken where it was asked for and isn't older than what this node
  * has: the neighbour may be the one that is behind.
  */
-static void take_table(void *context, const struct snapshot_table *table)
+static void import_table(void *context, const struct snapshot_table *table)
 {
-	struct taking *taking = context;
+	struct snapshot_import *snapshot_import = context;
 	struct follower *follower;
 
 	if (table->table >= FOLLOWERS ||
-	    !(taking->sync->asked_tables & SNAPSHOT_TABLE(table->table)))
+	    !(snapshot_import->sync->requested_tables &
+	      SNAPSHOT_TABLE(table->table)))
 		return;
-	follower = &taking->sync->followers[table->table];
-	if (follower->whole && table->version < follower->version)
+	follower = &snapshot_import->sync->followers[table->table];
+	if (follower->loaded && table->version < follower->version)
 		return;
-	taking->takes[table->table] = true;
-	taking->tables[table->table] = *table;
+	snapshot_import->accepts[table->table] = true;
+	snapshot_import->tables[table->table] = *table;
 	g_hash_table_remove_all(follower->seen);
 	g_clear_pointer(&follower->page_key, g_free);
 }
 
-static void take_row(void *context, const struct snapshot_row *row)
+static void import_row(void *context, const struct snapshot_row *row)
 {
-	struct taking *taking = context;
+	struct snapshot_import *snapshot_import = context;
 	const struct registry_row known = {
 		.key = (char *)row->key,
 		.value = (char *)row->value,
 	};
 	struct follower *follower;
 
-	if (row->table >= FOLLOWERS || !taking->takes[row->table] ||
+	if (row->table >= FOLLOWERS || !snapshot_import->accepts[row->table] ||
 	    row->table == REGISTRY_BACKENDS)
 		return;
-	follower = &taking->sync->followers[row->table];
+	follower = &snapshot_import->sync->followers[row->table];
 	g_hash_table_add(follower->seen, g_strdup(row->key));
 	follower_keep_row(follower, &known);
-	follower->rule->apply(taking->sync, &known);
+	follower->rule->apply(snapshot_import->sync, &known);
 }
 
 static void log_if_leaving(const struct edge *edge,
@@ -180,16 +181,17 @@
 			  backend->id, backend->draining ? "yes" : "no");
 }
 
-static void take_backend(void *context, const struct beat_row *backend)
+static void import_backend(void *context, const struct beat_row *backend)
 {
-	struct taking *taking = context;
-	struct follower *follower = &taking->sync->followers[REGISTRY_BACKENDS];
+	struct snapshot_import *snapshot_import = context;
+	struct follower *follower =
+		&snapshot_import->sync->followers[REGISTRY_BACKENDS];
 
-	if (!taking->takes[REGISTRY_BACKENDS])
+	if (!snapshot_import->accepts[REGISTRY_BACKENDS])
 		return;
 	g_hash_table_add(follower->seen, g_strdup(backend->id));
-	log_if_leaving(taking->sync->edge, backend);
-	backend_row_take(taking->sync->edge, backend);
+	log_if_leaving(snapshot_import->sync->edge, backend);
+	backend_row_receive(snapshot_import->sync->edge, backend);
 }
 
 /*
@@ -197,12 +199,13 @@
  * may have lapsed with the platform. A node that knows the server keeps it as
  * well; one that has dropped it doesn't take it for one that is there.
  */
-static void take_lapsed(void *context, const char *id)
+static void import_expired(void *context, const char *id)
 {
-	struct taking *taking = context;
-	struct follower *follower = &taking->sync->followers[REGISTRY_BACKENDS];
+	struct snapshot_import *snapshot_import = context;
+	struct follower *follower =
+		&snapshot_import->sync->followers[REGISTRY_BACKENDS];
 
-	if (taking->takes[REGISTRY_BACKENDS])
+	if (snapshot_import->accepts[REGISTRY_BACKENDS])
 		g_hash_table_add(follower->seen, g_strdup(id));
 }
 
@@ -210,40 +213,43 @@
  * The table is the platform's word of when it was confirmed to the neighbour,
  * counted back from when that was asked, which is before it answered.
  */
-static void end_table(struct taking *taking, struct follower *follower)
+static void finish_table(struct snapshot_import *snapshot_import,
+			 struct follower *follower)
 {
-	struct sync *sync = taking->sync;
+	struct sync *sync = snapshot_import->sync;
 	const struct snapshot_table *table =
-		&taking->tables[follower->rule->table];
+		&snapshot_import->tables[follower->rule->table];
 	uint64_t age_us = table->age_ms * US_PER_MS;
 
-	follower->overtaken = lane_is_busy(&follower->lane);
-	if (sync->asked_reader && follower->doubted_us <= follower->asked_us)
-		follower->doubted_us = 0;
+	follower->superseded = lane_is_busy(&follower->lane);
+	if (sync->requested_from_reader &&
+	    follower->mismatched_us <= follower->peer_asked_us)
+		follower->mismatched_us = 0;
 	follower_end_pass(follower, table->version,
-			  follower->asked_us - MIN(age_us, follower->asked_us));
+			  follower->peer_asked_us -
+				  MIN(age_us, follower->peer_asked_us));
 	follower_step_later(follower, 0);
 }
 
-static const struct snapshot_visitor taking_visitor = {
-	.table = take_table,
-	.row = take_row,
-	.backend = take_backend,
-	.lapsed = take_lapsed,
+static const struct snapshot_visitor import_visitor = {
+	.table = import_table,
+	.row = import_row,
+	.backend = import_backend,
+	.lapsed = import_expired,
 };
 
-static bool take_snapshot(struct sync *sync, const struct message *answer)
+static bool import_snapshot(struct sync *sync, const struct message *answer)
 {
-	struct taking taking = { .sync = sync };
+	struct snapshot_import snapshot_import = { .sync = sync };
 	uint32_t i;
 
 	if (!answer || answer->status != 200 ||
 	    !snapshot_read(answer->body->data, answer->body->len,
-			   &taking_visitor, &taking))
+			   &import_visitor, &snapshot_import))
 		return false;
 	for (i = 0; i < FOLLOWERS; i++)
-		if (taking.takes[i])
-			end_table(&taking, &sync->followers[i]);
+		if (snapshot_import.accepts[i])
+			finish_table(&snapshot_import, &sync->followers[i]);
 	return true;
 }
 
@@ -252,22 +258,22 @@
 {
 	struct sync *sync = context;
 	struct edge *edge = sync->edge;
-	bool taken = take_snapshot(sync, answer);
+	bool taken = import_snapshot(sync, answer);
 
 	log_event(taken ? LOG_INFO : LOG_DEBUG, "neighbour-asked",
 		  "taken=%s from=%s tables=%u status=%u cause=%s bytes=%" PRIu64
 		  " routes_version=%" PRIu64 " backends=%u",
-		  taken ? "yes" : "no", sync->neighbour.to.address,
-		  sync->asked_tables, answer ? answer->status : 0,
-		  cause ? cause : "answer", sync->neighbour.got_bytes,
+		  taken ? "yes" : "no", sync->peer_lane.to.address,
+		  sync->requested_tables, answer ? answer->status : 0,
+		  cause ? cause : "answer", sync->peer_lane.got_bytes,
 		  edge->routes ? edge->routes->version : 0,
 		  g_hash_table_size(edge->backends->by_id));
-	sync->asked_tables = 0;
+	sync->requested_tables = 0;
 }
 
-bool follower_differs(const struct follower *follower)
+bool follower_has_mismatch(const struct follower *follower)
 {
-	return follower->doubted_us > follower->confirmed_us;
+	return follower->mismatched_us > follower->confirmed_us;
 }
 
 /*
@@ -276,49 +282,49 @@
  * have to wait for room on the neighbour's link. The others have every second
  * question, since routes may change faster than they can be asked for.
  */
-static uint32_t missing_tables(const struct sync *sync)
+static uint32_t tables_to_request(const struct sync *sync)
 {
 	const uint32_t routes = SNAPSHOT_TABLE(REGISTRY_CONFIG);
 	uint32_t tables = 0;
 	uint32_t i;
 
 	for (i = 0; i < FOLLOWERS; i++)
-		if (!sync->followers[i].whole ||
-		    follower_differs(&sync->followers[i]))
+		if (!sync->followers[i].loaded ||
+		    follower_has_mismatch(&sync->followers[i]))
 			tables |=
 				SNAPSHOT_TABLE(sync->followers[i].rule->table);
-	if (!(tables & routes) || !sync->followers[REGISTRY_CONFIG].whole)
+	if (!(tables & routes) || !sync->followers[REGISTRY_CONFIG].loaded)
 		return tables;
-	if (tables != routes && sync->last_asked == routes)
+	if (tables != routes && sync->last_requested_tables == routes)
 		return tables & ~routes;
 	return routes;
 }
 
-static void ask(struct sync *sync, const struct endpoint *to)
+static void request_snapshot(struct sync *sync, const struct endpoint *to)
 {
-	uint32_t tables = missing_tables(sync);
+	uint32_t tables = tables_to_request(sync);
 	char *target;
 	uint32_t i;
 
-	if (!tables || lane_is_busy(&sync->neighbour))
+	if (!tables || lane_is_busy(&sync->peer_lane))
 		return;
 	for (i = 0; i < FOLLOWERS; i++) {
 		struct follower *follower = &sync->followers[i];
 
 		if (!(tables & SNAPSHOT_TABLE(follower->rule->table)))
 			continue;
-		follower->asked_us = edge_now_us(sync->edge);
-		follower->asks++;
+		follower->peer_asked_us = edge_now_us(sync->edge);
+		follower->peer_attempts++;
 	}
-	sync->asked_tables = tables;
-	sync->last_asked = tables;
+	sync->requested_tables = tables;
+	sync->last_requested_tables = tables;
 	target = g_strdup_printf(SNAPSHOT_PATH "?" SNAPSHOT_PARAMETER "=%u",
 				 tables);
-	if (strcmp(sync->neighbour.to.address, to->address) != 0 ||
-	    sync->neighbour.to.port != to->port)
-		lane_redirect(&sync->neighbour, to);
+	if (strcmp(sync->peer_lane.to.address, to->address) != 0 ||
+	    sync->peer_lane.to.port != to->port)
+		lane_redirect(&sync->peer_lane, to);
 	metric_add(sync->edge->stats.asked, 1);
-	lane_call(&sync->neighbour, "GET", target, NULL, ASK_TIMEOUT_US,
+	lane_call(&sync->peer_lane, "GET", target, NULL, SNAPSHOT_TIMEOUT_US,
 		  on_snapshot, sync);
 	g_free(target);
 }
@@ -328,7 +334,7 @@
  * yet; it asks those that read first, beginning with another one than the next
  * node does.
  */
-void sync_ask_neighbour(struct sync *sync)
+void sync_ask_peer(struct sync *sync)
 {
 	struct edge *edge = sync->edge;
 	struct member_table *members = edge->members;
@@ -338,15 +344,16 @@
 	uint32_t count =
 		member_table_first_readers(members, first, READ_FIRST_NODES);
 	uint32_t turn = members->self->hash +
-			sync->followers[REGISTRY_BACKENDS].asks +
-			sync->followers[REGISTRY_CONFIG].asks;
-
-	sync->asked_reader = edge_is_ready(edge) && reader != members->self &&
-			     reader->peer.port;
-	if (sync->asked_reader)
-		ask(sync, &reader->peer);
+			sync->followers[REGISTRY_BACKENDS].peer_attempts +
+			sync->followers[REGISTRY_CONFIG].peer_attempts;
+
+	sync->requested_from_reader = edge_is_ready(edge) &&
+				      reader != members->self &&
+				      reader->peer.port;
+	if (sync->requested_from_reader)
+		request_snapshot(sync, &reader->peer);
 	else if (count)
-		ask(sync, &first[turn % count]->peer);
+		request_snapshot(sync, &first[turn % count]->peer);
 }
 
 static bool some_call_fails(const struct sync *sync)
@@ -359,14 +366,14 @@
 	return false;
 }
 
-void sync_heard_neighbour(struct sync *sync, const struct endpoint *from)
+void sync_receive_peer_address(struct sync *sync, const struct endpoint *from)
 {
 	struct edge *edge = sync->edge;
 
 	if ((edge->routes && edge->backends->whole) || !some_call_fails(sync))
 		return;
-	sync->asked_reader = false;
-	ask(sync, from);
+	sync->requested_from_reader = false;
+	request_snapshot(sync, from);
 }
 
 /* --- one reader a region ------------------------------------------------ */
@@ -404,13 +411,13 @@
  * A reader whose newest routes can't be read knows no routes to vouch for: its
  * neighbours, content with the same old ones, would never ask.
  */
-static bool is_unread(const struct follower *follower)
+static bool is_unreadable(const struct follower *follower)
 {
 	return follower->rule->table == REGISTRY_CONFIG &&
-	       follower->sync->routes_unread;
+	       follower->sync->routes_unreadable;
 }
 
-uint32_t sync_vouches(const struct sync *sync, struct beat_vouch *vouches)
+uint32_t sync_fill_digests(const struct sync *sync, struct beat_vouch *vouches)
 {
 	uint64_t now_us = edge_now_us(sync->edge);
 	uint32_t count = 0;
@@ -419,7 +426,7 @@
 	for (i = 0; i < FOLLOWERS; i++) {
 		const struct follower *follower = &sync->followers[i];
 
-		if (!follower->whole || is_unread(follower))
+		if (!follower->loaded || is_unreadable(follower))
 			continue;
 		vouches[count].table = follower->rule->table;
 		vouches[count].digest = digest_of(follower);
@@ -432,7 +439,7 @@
 	return count;
 }
 
-void sync_vouched(struct sync *sync, const struct beat_vouch *vouch)
+void sync_receive_digest(struct sync *sync, const struct beat_vouch *vouch)
 {
 	uint64_t now_us = edge_now_us(sync->edge);
 	struct follower *follower;
@@ -442,18 +449,18 @@
 		return;
 	follower = &sync->followers[vouch->table];
 	at_us = now_us - MIN(now_us, vouch->age_ms * US_PER_MS);
-	if (!follower->whole || at_us <= follower->confirmed_us)
+	if (!follower->loaded || at_us <= follower->confirmed_us)
 		return;
 	if (vouch->digest == digest_of(follower)) {
 		follower->confirmed_us = at_us;
 		follower->version = MAX(follower->version, vouch->version);
 		follower->answered_us = MAX(follower->answered_us, at_us);
-		follower->asks = 0;
+		follower->peer_attempts = 0;
 		return;
 	}
-	follower->doubted_us = MAX(follower->doubted_us, at_us);
-	if (now_us - MAX(follower->called_us, follower->asked_us) >
-	    follower->rule->mismatch_us)
+	follower->mismatched_us = MAX(follower->mismatched_us, at_us);
+	if (now_us - MAX(follower->called_us, follower->peer_asked_us) >
+	    follower->rule->mismatch_interval_us)
 		follower_step(follower);
 }
 
@@ -463,6 +470,6 @@
 	uint64_t since_us = edge_now_us(sync->edge) - follower->called_us;
 
 	follower->cause = READ_MEMBER_UNKNOWN;
-	if (since_us > follower->rule->mismatch_us)
+	if (since_us > follower->rule->mismatch_interval_us)
 		follower_call(follower);
 }
--- a/packages/edge/sync_own.c
+++ b/packages/edge/sync_own.c
@@ -3,24 +3,25 @@
 #include "adapters/log.h"
 #include "core/duration.h"
 
-static void on_own_time(uv_timer_t *timer)
+static void on_own_row_timer(uv_timer_t *timer)
 {
 	sync_write_own_row(timer->data);
 }
 
 void sync_write_own_row_later(struct sync *sync, uint64_t delay_us)
 {
-	uv_timer_start(&sync->own_timer, on_own_time, delay_us / US_PER_MS, 0);
+	uv_timer_start(&sync->own_timer, on_own_row_timer, delay_us / US_PER_MS,
+		       0);
 }
 
-static void on_own_written(void *context, const struct message *answer,
-			   const char *cause)
+static void on_own_row_written(void *context, const struct message *answer,
+			       const char *cause)
 {
 	struct sync *sync = context;
 	uint64_t retry_us;
 
 	if (answer && answer->status == 200) {
-		sync->own_listed = true;
+		sync->own_row_current = true;
 		sync->own_failures = 0;
 		return;
 	}
@@ -43,18 +44,18 @@
 	};
 	struct registry_call call;
 
-	if (lane_is_busy(&sync->own_lane) || sync->own_listed)
+	if (lane_is_busy(&sync->own_lane) || sync->own_row_current)
 		return;
 	edge->registry->vtable->put_member(edge->registry, edge->settings.name,
 					   &record, &call);
 	metric_add(edge->stats.registry_writes, 1);
 	lane_call(&sync->own_lane, call.method, call.target, call.body,
-		  SYNC_CALL_TIMEOUT_US, on_own_written, sync);
+		  SYNC_CALL_TIMEOUT_US, on_own_row_written, sync);
 	registry_call_release(&call);
 }
 
-static void on_struck(void *context, const struct message *answer,
-		      const char *cause)
+static void on_member_removed(void *context, const struct message *answer,
+			      const char *cause)
 {
 	(void)context;
 	log_event(LOG_INFO, "member-struck", "done=%s cause=%s",
@@ -62,21 +63,22 @@
 		  cause ? cause : "");
 }
 
-void sync_strike_lost(struct sync *sync)
+void sync_remove_lost_member(struct sync *sync)
 {
 	struct edge *edge = sync->edge;
 	const struct member *lost = member_table_lost(
-		edge->members, edge->settings.forget_us, edge_now_us(edge));
+		edge->members, edge->settings.member_expiry_us,
+		edge_now_us(edge));
 	struct registry_call call;
 
-	if (!lost || lane_is_busy(&sync->own_lane) || !sync->own_listed)
+	if (!lost || lane_is_busy(&sync->own_lane) || !sync->own_row_current)
 		return;
 	log_event(LOG_INFO, "member-lost", "member=%s", lost->name);
 	edge->registry->vtable->put_member(edge->registry, lost->name, NULL,
 					   &call);
 	metric_add(edge->stats.registry_writes, 1);
 	lane_call(&sync->own_lane, call.method, call.target, call.body,
-		  SYNC_CALL_TIMEOUT_US, on_struck, sync);
+		  SYNC_CALL_TIMEOUT_US, on_member_removed, sync);
 	registry_call_release(&call);
 	member_table_remove(edge->members, lost->name);
 }
--- a/packages/edge/sync_parts.h
+++ b/packages/edge/sync_parts.h
@@ -1,8 +1,8 @@
 /*
  * sync_parts - what the files of sync share; not for other modules
  */
-#ifndef EDGE_SYNC_PARTS_H
-#define EDGE_SYNC_PARTS_H
+#ifndef EDGE_SYNC_INTERNAL_H
+#define EDGE_SYNC_INTERNAL_H
 
 #include "core/read_plan.h"
 #include "edge/lane.h"
@@ -20,7 +20,7 @@
  * size, 16 MB, over the narrowest link that nodes have, 10 Mbit/s, takes 13.4
  * s.
  */
-#define SYNC_ARRIVAL_MOST_US (20 * US_PER_S)
+#define SYNC_MAX_TRANSFER_US (20 * US_PER_S)
 
 struct follower;
 
@@ -34,13 +34,16 @@
 struct follow_rule {
 	const char *name;
 	enum registry_table table;
-	struct follow_time wait; /* how long the platform may hold a call */
-	struct follow_time spacing; /* from one call's start to the next */
-	struct follow_time word; /* how long a neighbour's word is good */
-	uint64_t arrival_most_us; /* for an answer */
-	uint64_t mismatch_us; /* between reads for a word that differs */
-	uint32_t asks_most; /* of neighbours, for one that differs */
-	bool reads_anew; /* where it differs, rather than each change since */
+	struct follow_time hold; /* how long the platform may hold a call */
+	struct follow_time interval; /* from one call's start to the next */
+	struct follow_time confirmation_ttl; /* how long a neighbour's word is
+						good */
+	uint64_t max_transfer_us; /* for an answer */
+	uint64_t mismatch_interval_us; /* between reads for a word that differs
+					*/
+	uint32_t max_peer_attempts; /* of neighbours, for one that differs */
+	bool rereads_when_behind; /* where it differs, rather than each change
+				     since */
 	void (*apply)(struct sync *sync, const struct registry_row *row);
 	/* After a whole read as of that version: what it didn't hold is gone.
 	 */
@@ -53,7 +56,7 @@
 	struct lane lane;
 	uv_timer_t timer;
 	uint64_t version; /* follow from here */
-	bool whole; /* the table was read whole */
+	bool loaded; /* the table was read whole */
 	char *page_key; /* last key of the pages read so far */
 	uint64_t page_version; /* version of the first page */
 	uint64_t page_as_of_us; /* when the platform gave it */
@@ -61,13 +64,14 @@
 	/* Key -> value, as the platform gave them; not of backend servers. */
 	GHashTable *rows;
 	uint64_t called_us;
-	bool overtaken; /* a neighbour gave the table while it was out */
-	uint64_t asked_us; /* a neighbour, last */
-	uint32_t asks; /* of neighbours in a row without the table */
+	bool superseded; /* a neighbour gave the table while it was out */
+	uint64_t peer_asked_us; /* a neighbour, last */
+	uint32_t peer_attempts; /* of neighbours in a row without the table */
 	enum read_cause cause; /* of the latest step */
 	uint64_t answered_us; /* last good answer */
 	uint64_t confirmed_us; /* the platform confirmed what is believed */
-	uint64_t doubted_us; /* and by then it said otherwise to a neighbour */
+	uint64_t mismatched_us; /* and by then it said otherwise to a neighbour
+				 */
 	uint32_t failures; /* in a row */
 };
 
@@ -80,26 +84,29 @@
 	struct lane own_lane; /* writes this node's row */
 	uv_timer_t own_timer;
 	uint32_t own_failures; /* of its writes, in a row */
-	bool own_listed; /* this node's row is in the table as it should be */
-	struct lane neighbour; /* asks a neighbour for tables */
-	uint32_t asked_tables; /* sum of SNAPSHOT_TABLE(); 0: not asking */
-	uint32_t last_asked; /* the same of the latest question */
-	bool asked_reader; /* the neighbour asked is the region's reader */
-	GBytes *given; /* the latest snapshot, for neighbours */
-	uint32_t given_tables;
-	uint64_t given_us; /* when it was made */
-	uint64_t giving_until_us; /* see read_may_give() */
-	bool was_away; /* since the last rows of backend servers */
-	bool routes_unread; /* the newest routes can't be read */
-	uint64_t lapse_until_us; /* missing backend servers are kept till then
-				  */
+	bool own_row_current; /* this node's row is in the table as it should be
+			       */
+	struct lane peer_lane; /* asks a neighbour for tables */
+	uint32_t requested_tables; /* sum of SNAPSHOT_TABLE(); 0: not asking */
+	uint32_t last_requested_tables; /* the same of the latest question */
+	bool requested_from_reader; /* the neighbour asked is the region's
+				       reader */
+	GBytes *snapshot; /* the latest snapshot, for neighbours */
+	uint32_t snapshot_tables;
+	uint64_t snapshot_us; /* when it was made */
+	uint64_t link_busy_until_us; /* see read_may_give() */
+	bool platform_was_away; /* since the last rows of backend servers */
+	bool routes_unreadable; /* the newest routes can't be read */
+	uint64_t expiry_grace_until_us; /* missing backend servers are kept till
+					 * then
+					 */
 };
 
 /* sync_plan.c: how each table is followed. */
 extern const struct follow_rule follow_rules[FOLLOWERS];
 
 /* sync_plan.c: how soon what the platform says must be known here. */
-uint64_t sync_change_within_us(const struct edge *edge);
+uint64_t sync_change_deadline_us(const struct edge *edge);
 
 /* sync_plan.c: this node among those of its region that may read. */
 uint32_t sync_own_rank(const struct sync *sync);
@@ -131,10 +138,10 @@
 		       const struct registry_row *row);
 
 /* sync_neighbours.c: ask a neighbour for what this node should know. */
-void sync_ask_neighbour(struct sync *sync);
+void sync_ask_peer(struct sync *sync);
 
 /* sync_neighbours.c: whether the reader's word was another one lately. */
-bool follower_differs(const struct follower *follower);
+bool follower_has_mismatch(const struct follower *follower);
 
 /* sync_own.c: write this node's own row, again if need be. */
 void sync_write_own_row(struct sync *sync);
--- a/packages/edge/sync_plan.c
+++ b/packages/edge/sync_plan.c
@@ -12,49 +12,49 @@
  * followed by a pause and one that is held, so the word is up to the sum of the
  * first two old. The rest is for a call of one's own, after one that failed.
  */
-#define CONFIG_WAIT_PERCENT 36
-#define WAIT_PERCENT 20
-#define SPACING_PERCENT 36
-#define WORD_PERCENT 72
-G_STATIC_ASSERT(WAIT_PERCENT + SPACING_PERCENT < WORD_PERCENT);
+#define CONFIG_HOLD_PERCENT 36
+#define HOLD_PERCENT 20
+#define INTERVAL_PERCENT 36
+#define CONFIRMATION_TTL_PERCENT 72
+G_STATIC_ASSERT(HOLD_PERCENT + INTERVAL_PERCENT < CONFIRMATION_TTL_PERCENT);
 
 /*
  * Members' rows may be known late: beats tell who lives. The word outlasts two
  * of the reader's own calls.
  */
-#define MEMBERS_SPACING_US (20 * US_PER_S)
-#define MEMBERS_WORD_US (50 * US_PER_S)
+#define MEMBERS_INTERVAL_US (20 * US_PER_S)
+#define MEMBERS_CONFIRMATION_TTL_US (50 * US_PER_S)
 
 /*
  * Between two calls because a neighbour knows otherwise: where this node is the
  * one that knows more, the neighbour has caught up by then. Members may be
  * known later than the rest, and all change theirs when all start.
  */
-#define MISMATCH_US (800 * US_PER_MS)
-#define MEMBERS_MISMATCH_US (2 * US_PER_S)
+#define MISMATCH_INTERVAL_US (800 * US_PER_MS)
+#define MEMBERS_MISMATCH_INTERVAL_US (2 * US_PER_S)
 
 /*
  * Neighbours asked for what differs before the platform is. One for routes: a
  * large document doesn't fit a neighbour's link, and must be there soon.
  */
-#define ASKS_MOST 8
+#define MAX_PEER_ATTEMPTS 8
 
 /*
  * An answer about backend servers: what it says grows old as it comes,
  * and a new connection may be quick where this one trickles. A page of 1 MB
  * takes 0.8 s over 10 Mbit/s, which callers' traffic may fill at the time.
  */
-#define BACKENDS_ARRIVAL_US (5 * US_PER_S)
+#define BACKENDS_MAX_TRANSFER_US (5 * US_PER_S)
 
 /*
  * Changes that are so much larger than the whole table hold more than its
  * newest rows: it is read whole instead. Below the least size either is quick.
  */
-#define CHANGES_MOST_PERCENT 150
-#define CHANGES_MOST_LEAST (64 * 1024)
+#define MAX_CHANGES_PERCENT 150
+#define MIN_CHANGES_LIMIT_BYTES (64 * 1024)
 
 /* A row's names and version in an answer. */
-#define ROW_OVERHEAD 200
+#define ROW_OVERHEAD_BYTES 200
 
 const struct follow_rule follow_rules[FOLLOWERS] = {
 	/*
@@ -67,13 +67,13 @@
 	{
 		.name = "config",
 		.table = REGISTRY_CONFIG,
-		.wait.percent = CONFIG_WAIT_PERCENT,
-		.spacing.us = 50 * US_PER_MS,
-		.word.percent = WORD_PERCENT,
-		.arrival_most_us = SYNC_ARRIVAL_MOST_US,
-		.mismatch_us = MISMATCH_US,
-		.asks_most = 1,
-		.reads_anew = true,
+		.hold.percent = CONFIG_HOLD_PERCENT,
+		.interval.us = 50 * US_PER_MS,
+		.confirmation_ttl.percent = CONFIRMATION_TTL_PERCENT,
+		.max_transfer_us = SYNC_MAX_TRANSFER_US,
+		.mismatch_interval_us = MISMATCH_INTERVAL_US,
+		.max_peer_attempts = 1,
+		.rereads_when_behind = true,
 		.apply = apply_config_row,
 		.prune = prune_config,
 	},
@@ -81,31 +81,31 @@
 	{
 		.name = "backends",
 		.table = REGISTRY_BACKENDS,
-		.wait.percent = WAIT_PERCENT,
-		.spacing.percent = SPACING_PERCENT,
-		.word.percent = WORD_PERCENT,
-		.arrival_most_us = BACKENDS_ARRIVAL_US,
-		.mismatch_us = MISMATCH_US,
-		.asks_most = ASKS_MOST,
+		.hold.percent = HOLD_PERCENT,
+		.interval.percent = INTERVAL_PERCENT,
+		.confirmation_ttl.percent = CONFIRMATION_TTL_PERCENT,
+		.max_transfer_us = BACKENDS_MAX_TRANSFER_US,
+		.mismatch_interval_us = MISMATCH_INTERVAL_US,
+		.max_peer_attempts = MAX_PEER_ATTEMPTS,
 		.apply = apply_backend_row,
 		.prune = prune_backends,
 	},
 	{
 		.name = "members",
 		.table = REGISTRY_MEMBERS,
-		.wait.us = 15 * US_PER_S,
-		.spacing.us = MEMBERS_SPACING_US,
-		.word.us = MEMBERS_WORD_US,
-		.arrival_most_us = SYNC_ARRIVAL_MOST_US,
-		.mismatch_us = MEMBERS_MISMATCH_US,
-		.asks_most = ASKS_MOST,
+		.hold.us = 15 * US_PER_S,
+		.interval.us = MEMBERS_INTERVAL_US,
+		.confirmation_ttl.us = MEMBERS_CONFIRMATION_TTL_US,
+		.max_transfer_us = SYNC_MAX_TRANSFER_US,
+		.mismatch_interval_us = MEMBERS_MISMATCH_INTERVAL_US,
+		.max_peer_attempts = MAX_PEER_ATTEMPTS,
 		.apply = apply_member_row,
 		.prune = prune_members,
 	},
 };
 
 /* How soon what the platform says must be known here. */
-uint64_t sync_change_within_us(const struct edge *edge)
+uint64_t sync_change_deadline_us(const struct edge *edge)
 {
 	return MIN(edge->settings.leave_within_us,
 		   edge->settings.config_within_us);
@@ -116,7 +116,7 @@
 {
 	if (!time->percent)
 		return time->us;
-	return sync_change_within_us(follower->sync->edge) * time->percent /
+	return sync_change_deadline_us(follower->sync->edge) * time->percent /
 	       100;
 }
 
@@ -129,7 +129,7 @@
 
 uint32_t sync_own_rank(const struct sync *sync)
 {
-	if (!sync->followers[REGISTRY_MEMBERS].whole)
+	if (!sync->followers[REGISTRY_MEMBERS].loaded)
 		return READ_RANK_UNKNOWN;
 	return member_table_read_rank(sync->edge->members);
 }
@@ -143,10 +143,11 @@
 }
 
 /* Whether nobody has vouched for the table for as long as a word is good. */
-static bool word_is_old(const struct follower *follower)
+static bool confirmation_expired(const struct follower *follower)
 {
-	uint64_t until_us = follower->confirmed_us +
-			    follower_time_us(follower, &follower->rule->word);
+	uint64_t until_us =
+		follower->confirmed_us +
+		follower_time_us(follower, &follower->rule->confirmation_ttl);
 
 	return until_us <= edge_now_us(follower->sync->edge);
 }
@@ -155,9 +156,9 @@
  * Whether its calls fail and go on. Where a neighbour's word spares them they
  * don't, and nobody would notice that the path is back.
  */
-static bool tries_path(const struct follower *follower)
+static bool is_retrying(const struct follower *follower)
 {
-	return follower->failures && word_is_old(follower);
+	return follower->failures && confirmation_expired(follower);
 }
 
 static void fill_state(const struct follower *follower,
@@ -167,18 +168,19 @@
 	const struct member *neighbour;
 
 	state->is_reader = reads_for_region(sync);
-	state->whole = follower->whole;
+	state->whole = follower->loaded;
 	state->rank = read_rank(follower);
 	state->has_neighbours = member_table_first_readers(sync->edge->members,
 							   &neighbour, 1) > 0;
 	state->started_us = sync->started_us;
 	state->confirmed_us = follower->confirmed_us;
-	state->word_us = follower_time_us(follower, &follower->rule->word);
-	state->differs = follower_differs(follower);
+	state->word_us =
+		follower_time_us(follower, &follower->rule->confirmation_ttl);
+	state->differs = follower_has_mismatch(follower);
 	state->path_fails = follower->rule->table != REGISTRY_BACKENDS &&
-			    tries_path(&sync->followers[REGISTRY_BACKENDS]);
-	state->asks = follower->asks;
-	state->asks_most = follower->rule->asks_most;
+			    is_retrying(&sync->followers[REGISTRY_BACKENDS]);
+	state->asks = follower->peer_attempts;
+	state->asks_most = follower->rule->max_peer_attempts;
 }
 
 void follower_step(struct follower *follower)
@@ -194,7 +196,7 @@
 		return;
 	}
 	if (step.from == READ_NEIGHBOUR)
-		sync_ask_neighbour(follower->sync);
+		sync_ask_peer(follower->sync);
 	follower_step_later(follower, step.wait_us);
 }
 
@@ -220,7 +222,7 @@
 		return 0;
 	if (!reads_for_region(follower->sync))
 		return 0;
-	return follower_time_us(follower, &follower->rule->wait);
+	return follower_time_us(follower, &follower->rule->hold);
 }
 
 static uint64_t base64_bytes(uint64_t bytes)
@@ -231,24 +233,25 @@
 /* Whether more than the latest change may have been missed. */
 static bool may_be_behind(const struct follower *follower)
 {
-	return follower_differs(follower) || word_is_old(follower);
+	return follower_has_mismatch(follower) ||
+	       confirmation_expired(follower);
 }
 
 /* How large an answer about changes may be; 0: as large as any. */
-static uint64_t changes_most(const struct follower *follower)
+static uint64_t max_changes_bytes(const struct follower *follower)
 {
 	uint64_t whole_bytes = 0;
 	GHashTableIter iter;
 	gpointer value;
 
-	if (!follower->rule->reads_anew || !follower->whole ||
+	if (!follower->rule->rereads_when_behind || !follower->loaded ||
 	    !may_be_behind(follower))
 		return 0;
 	g_hash_table_iter_init(&iter, follower->rows);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		whole_bytes += base64_bytes(strlen(value)) + ROW_OVERHEAD;
-	return MAX(whole_bytes * CHANGES_MOST_PERCENT / 100,
-		   CHANGES_MOST_LEAST);
+		whole_bytes += base64_bytes(strlen(value)) + ROW_OVERHEAD_BYTES;
+	return MAX(whole_bytes * MAX_CHANGES_PERCENT / 100,
+		   MIN_CHANGES_LIMIT_BYTES);
 }
 
 void follower_call(struct follower *follower)
@@ -261,8 +264,8 @@
 
 	if (lane_is_busy(&follower->lane))
 		return;
-	lane_limit_body(&follower->lane, changes_most(follower));
-	if (follower->whole) {
+	lane_limit_body(&follower->lane, max_changes_bytes(follower));
+	if (follower->loaded) {
 		registry->vtable->follow(registry, rule->table,
 					 follower->version, wait_us(follower),
 					 &call);
@@ -273,9 +276,9 @@
 			follower->page_key ? follower->page_key : "", &call);
 	}
 	follower->called_us = edge_now_us(edge);
-	follower->overtaken = false;
+	follower->superseded = false;
 	log_event(LOG_DEBUG, "registry-call", "table=%s whole=%s cause=%s",
-		  rule->name, follower->whole ? "yes" : "no",
+		  rule->name, follower->loaded ? "yes" : "no",
 		  read_cause_name(follower->cause));
 	stats_count_read(&edge->stats, follower->cause);
 	lane_call(&follower->lane, call.method, call.target, call.body,
--- a/packages/edge/sync_tables.c
+++ b/packages/edge/sync_tables.c
@@ -18,7 +18,7 @@
 	if (row->deleted)
 		return;
 	table = registry->vtable->decode_routes(registry, row->value, &error);
-	sync->routes_unread = !table;
+	sync->routes_unreadable = !table;
 	if (!table) {
 		log_event(LOG_ERROR, "routes-invalid",
 			  "row_version=%" PRIu64 " cause=%s", row->version,
@@ -125,14 +125,15 @@
 	if (backend && !backend->lapsed_us && backend->version <= version)
 		log_event(LOG_INFO, "backend-missing",
 			  "backend=%s service=%s kept_us=%" PRIu64, id,
-			  backend->service, sync_lapse_left_us(sync));
-	backend_table_remove(edge->backends, id, version, sync->lapse_until_us,
-			     now_us);
+			  backend->service, sync_expiry_grace_left_us(sync));
+	backend_table_remove(edge->backends, id, version,
+			     sync->expiry_grace_until_us, now_us);
 }
 
 /* The first list is one line of the log, not one for each server. */
-static bool is_news(const struct edge *edge, const struct backend *known,
-		    const struct backend_record *record)
+static bool is_logged_change(const struct edge *edge,
+			     const struct backend *known,
+			     const struct backend_record *record)
 {
 	if (!known)
 		return edge->backends->whole;
@@ -163,7 +164,7 @@
 
 	if (backend_table_knows_newer(edge->backends, &facts))
 		return;
-	if (is_news(edge, known, record))
+	if (is_logged_change(edge, known, record))
 		log_event(LOG_INFO, "backend",
 			  "backend=%s service=%s address=%s:%u domain=%s "
 			  "slots=%u draining=%s cold_left_us=%" PRIu64
@@ -274,11 +275,12 @@
 	return same;
 }
 
-static void take_own_row(struct sync *sync, const struct registry_row *row)
+static void apply_own_row(struct sync *sync, const struct registry_row *row)
 {
-	bool known = sync->followers[REGISTRY_MEMBERS].whole;
+	bool known = sync->followers[REGISTRY_MEMBERS].loaded;
 
-	sync->own_listed = !row->deleted && is_own_row(sync->edge, row->value);
+	sync->own_row_current = !row->deleted &&
+				is_own_row(sync->edge, row->value);
 	if (known && !sync->edge->stopping)
 		sync_write_own_row(sync);
 }
@@ -291,7 +293,7 @@
 	GError *error = NULL;
 
 	if (!strcmp(row->key, edge->settings.name)) {
-		take_own_row(sync, row);
+		apply_own_row(sync, row);
 		return;
 	}
 	if (row->deleted) {
--- a/tests/core/rate_limit_test.cc
+++ b/tests/core/rate_limit_test.cc
@@ -70,12 +70,12 @@
 	double believed;
 };
 
-struct belief_case {
+struct denial_case {
 	const char *name;
 	std::vector<belief_step> steps;
 };
 
-const belief_case belief_cases[] = {
+const denial_case denial_cases[] = {
 	{ "Named", { { 'a', 2, 10, 11, 2 } } },
 	{ "NeverNamed", { { 'a', 0, 10, 11, 0 } } },
 	{ "Lowered", { { 'a', 9, 10, 12, 9 }, { 'a', 2, 11, 13, 2 } } },
@@ -100,11 +100,11 @@
 	  { { 'w', 2, 12, 13, 2 }, { 'a', 0, 11, 14, 2 } } },
 };
 
-class BeliefTest : public ::testing::TestWithParam<belief_case>
+class DenialConfirmationTest : public ::testing::TestWithParam<denial_case>
 {
 };
 
-TEST_P(BeliefTest, TheNewestRateIsBelieved)
+TEST_P(DenialConfirmationTest, TheNewestRateIsBelieved)
 {
 	struct rate_limit limit = {};
 
@@ -120,8 +120,8 @@
 	}
 }
 
-INSTANTIATE_TEST_SUITE_P(RateLimit, BeliefTest,
-			 ::testing::ValuesIn(belief_cases),
+INSTANTIATE_TEST_SUITE_P(RateLimit, DenialConfirmationTest,
+			 ::testing::ValuesIn(denial_cases),
 			 [](const auto &info) { return info.param.name; });
 
 /* A request that was chosen for the server and never sent costs it nothing. */
--- a/tests/edge/confirmation_test.cc
+++ b/tests/edge/confirmation_test.cc
@@ -21,7 +21,7 @@
  * A node that isn't sure of its routes: what it doesn't find may be there. A
  * 404 is final, so it says when to come back instead.
  */
-struct belief_case {
+struct denial_case {
 	const char *name;
 	bool differs; /* a neighbour that asked later knows other routes */
 	bool cut_off; /* no word for longer than a change may take */
@@ -30,20 +30,20 @@
 	int large; /* and for a body over the operator's limit */
 };
 
-const belief_case belief_cases[] = {
+const denial_case denial_cases[] = {
 	{ "Confirmed", false, false, 404, 200, 413 },
 	{ "ANeighbourKnowsOthers", true, false, 503, 200, 503 },
 	{ "CutOff", false, true, 503, 200, 503 },
 };
 
-class BeliefTest : public ConfirmationTest,
-		   public ::testing::WithParamInterface<belief_case>
+class DenialConfirmationTest : public ConfirmationTest,
+			       public ::testing::WithParamInterface<denial_case>
 {
 };
 
-TEST_P(BeliefTest, DecidesWhatIsFinal)
+TEST_P(DenialConfirmationTest, DecidesWhatIsFinal)
 {
-	const belief_case &c = GetParam();
+	const denial_case &c = GetParam();
 
 	add_app("i-1");
 	start_node();
@@ -69,11 +69,12 @@
 				   "POST"))));
 }
 
-INSTANTIATE_TEST_SUITE_P(Cases, BeliefTest, ::testing::ValuesIn(belief_cases),
+INSTANTIATE_TEST_SUITE_P(Cases, DenialConfirmationTest,
+			 ::testing::ValuesIn(denial_cases),
 			 [](const auto &info) { return info.param.name; });
 
 /* There is a newer version, and nobody here knows what it says. */
-TEST_F(ConfirmationTest, ADocumentThatCannotBeReadDeniesNothing)
+TEST_F(ConfirmationTest, UnreadableDocumentDeniesNothing)
 {
 	add_app("i-1");
 	start_node();
@@ -87,7 +88,7 @@
 }
 
 /* Before the first routes are known the limits are a guess, too. */
-TEST_F(ConfirmationTest, ANodeThatKnowsNothingDeniesNothing)
+TEST_F(ConfirmationTest, NodeWithoutRoutesDeniesNothing)
 {
 	silence();
 	start_node(false);
@@ -102,7 +103,7 @@
  * node takes the old one for confirmed as of its last byte, not of its first,
  * and denies the newer one's routes for 2.4 s longer than it may.
  */
-TEST_F(ConfirmationTest, ADocumentIsConfirmedAsOfItsBeginning)
+TEST_F(ConfirmationTest, DocumentIsConfirmedAsOfItsFirstByte)
 {
 	const std::string late =
 		",\"late\":{\"host\":\"h.example\",\"prefix\":\"/late/\","
@@ -142,7 +143,7 @@
  * moment: for as long again the node, and each neighbour that it told, denied
  * the routes of the second. They are as old as the answer's sending.
  */
-TEST_F(ConfirmationTest, RowsAreConfirmedAsOfTheirSending)
+TEST_F(ConfirmationTest, RowsAreConfirmedAsOfTheirSendTime)
 {
 	const uint64_t under_way_ms = 150;
 	uint64_t put_us;
@@ -199,7 +200,7 @@
  * on to vouch for its old routes; its neighbours, which never see the document,
  * deny what it adds.
  */
-TEST_F(ConfirmationTest, AReaderThatCannotReadTheNewestVouchesForNoRoutes)
+TEST_F(ConfirmationTest, ReaderWithUnreadableRoutesSendsNoRouteDigest)
 {
 	struct beat_vouch vouches[BEAT_MAX_VOUCHES];
 
@@ -208,7 +209,7 @@
 	store_stand_put(store, "op", "config", "{\"version\":2,\"routes\":{");
 	wait_for([this] { return status_at("/added-later/") == 503; });
 	turn_for(1500);
-	uint32_t count = sync_vouches(sync, vouches);
+	uint32_t count = sync_fill_digests(sync, vouches);
 	for (uint32_t i = 0; i < count; i++)
 		EXPECT_FALSE(vouches[i].table == REGISTRY_CONFIG &&
 			     vouches[i].age_ms < 2500)
@@ -222,7 +223,7 @@
  * until the held call's time-out 3.5 s later: a 404 past the time within which
  * the change must be in force, by the reader and by all who have its word.
  */
-TEST_F(ConfirmationTest, OthersAnswersDoNotConfirmForLongerThanAChangeMayTake)
+TEST_F(ConfirmationTest, OtherTablesAnswersDoNotConfirmRoutes)
 {
 	struct store_faults faults = {};
 	uint64_t put_us;
@@ -248,7 +249,7 @@
  * The store told of a newer document a moment ago, and it is arriving. What the
  * one before doesn't have may be in it.
  */
-TEST_F(ConfirmationTest, WhileOthersArriveNothingIsDenied)
+TEST_F(ConfirmationTest, NothingIsDeniedWhileNewRoutesArrive)
 {
 	add_app("i-1");
 	start_node();
--- a/tests/edge/crash_test.cc
+++ b/tests/edge/crash_test.cc
@@ -248,12 +248,12 @@
 		edge->suspects,
 		g_ascii_strtoull(key("/r/deadly").c_str(), nullptr, 16));
 
-	quarantine_store_review(quarantines);
+	quarantine_store_remove_lifted(quarantines);
 	EXPECT_NE(nullptr, row("/r/deadly"));
 	for (uint32_t i = 0; i < known.crash_count; i++)
 		suspect_crashed(edge->suspects, 7, edge->backends,
 				&known.crashes[i], "GET /r/other");
-	quarantine_store_review(quarantines);
+	quarantine_store_remove_lifted(quarantines);
 	wait_for([this] { return !row("/r/deadly"); });
 }
 
@@ -363,10 +363,10 @@
 	faults.slow_us = 200 * US_PER_MS;
 	store_stand_set_faults(store, &faults);
 	ASSERT_TRUE(suspect_quarantine(edge->suspects, 7, edge_now_us(edge)));
-	quarantine_store_keep(quarantines, 7);
+	quarantine_store_write(quarantines, 7);
 	turn_for(50);
 	ASSERT_TRUE(suspect_release(edge->suspects, 7, edge_now_us(edge)));
-	quarantine_store_keep(quarantines, 7);
+	quarantine_store_write(quarantines, 7);
 	turn_for(800);
 	EXPECT_EQ(nullptr,
 		  store_stand_get(store, "quarantines", "0000000000000007"));
--- a/tests/edge/edge_settings_test.cc
+++ b/tests/edge/edge_settings_test.cc
@@ -61,7 +61,7 @@
 	edge_settings_release(&settings);
 }
 
-TEST_F(EdgeSettingsTest, TellsWhatIsWrongAndWhere)
+TEST_F(EdgeSettingsTest, ErrorsNameThePlaceAndTheCause)
 {
 	const struct {
 		std::string text;
@@ -102,7 +102,7 @@
 }
 
 /* Each key of the code stands in the page, and the other way round. */
-TEST_F(EdgeSettingsTest, ThePagesExampleIsGood)
+TEST_F(EdgeSettingsTest, DocumentedExampleIsValid)
 {
 	FILE *page = fopen(SOURCE_DIR "/docs/SETTINGS.md", "r");
 	std::string text;
--- a/tests/edge/edge_world.h
+++ b/tests/edge/edge_world.h
@@ -333,13 +333,13 @@
 		settings.registry = *store_stand_at(store);
 		settings.front = endpoint_at(1);
 		settings.extra = { 0.2, 50, 10000000 };
-		settings.nodes_least = 1;
+		settings.min_nodes = 1;
 		settings.link_mbps = 10;
 		settings.leave_within_us = 2500000;
 		settings.config_within_us = 2500000;
 		settings.lookup_keep_us = 1000000;
-		settings.forget_us = 600 * 1000000ull;
-		settings.stop_most_us = 6000000;
+		settings.member_expiry_us = 600 * 1000000ull;
+		settings.max_stop_us = 6000000;
 		settings.regions = g_hash_table_new_full(
 			g_str_hash, g_str_equal, g_free, g_free);
 		for (const char *domain : { "d1", "d2" })
--- a/tests/edge/gossip_test.cc
+++ b/tests/edge/gossip_test.cc
@@ -93,7 +93,7 @@
 		neighbour->hash = 0;
 		neighbour->link_mbps = edge->members->self->link_mbps;
 		beat.lives[beat.life_count++] = { 0, 1, false };
-		beat.vouch_count = sync_vouches(sync, beat.vouches);
+		beat.vouch_count = sync_fill_digests(sync, beat.vouches);
 		for (uint32_t i = 0; i < beat.vouch_count; i++)
 			beat.vouches[i].age_ms = 0;
 		return beat;
--- a/tests/edge/large_document.h
+++ b/tests/edge/large_document.h
@@ -64,7 +64,7 @@
 	void vouch(uint64_t differs, uint64_t others_differ = 0)
 	{
 		struct beat_vouch vouches[BEAT_MAX_VOUCHES];
-		uint32_t count = sync_vouches(sync, vouches);
+		uint32_t count = sync_fill_digests(sync, vouches);
 
 		reader_lives();
 		for (uint32_t i = 0; i < count; i++) {
@@ -73,7 +73,7 @@
 							     REGISTRY_CONFIG ?
 						     differs :
 						     others_differ;
-			sync_vouched(sync, &vouches[i]);
+			sync_receive_digest(sync, &vouches[i]);
 		}
 	}
 	/* The reader beats, and vouches for nothing. */
--- a/tests/edge/large_document_test.cc
+++ b/tests/edge/large_document_test.cc
@@ -21,7 +21,7 @@
 namespace
 {
 
-TEST_F(LargeDocumentTest, ANodeBesideAReaderHasItInForce)
+TEST_F(LargeDocumentTest, PeerOfAReaderLoadsTheDocument)
 {
 	start_beside_reader();
 	narrow_link();
@@ -33,7 +33,7 @@
 }
 
 /* A node that starts never became ready: it can't read the table at all. */
-TEST_F(LargeDocumentTest, ANodeThatStartsBecomesReady)
+TEST_F(LargeDocumentTest, StartingNodeBecomesReady)
 {
 	add_app("i-1");
 	put_large(2);
@@ -49,7 +49,7 @@
  * The same full link holds up the short calls for backend servers. Their
  * time-outs ended the document's call, too, as one on a silent path.
  */
-TEST_F(LargeDocumentTest, ItArrivesWhileOtherCallsTimeOut)
+TEST_F(LargeDocumentTest, TransferSurvivesTimeoutsOfOtherCalls)
 {
 	start_beside_reader();
 	narrow_link();
@@ -64,7 +64,7 @@
 }
 
 /* A path that falls silent in the middle of it is given up soon. */
-TEST_F(LargeDocumentTest, ASilentPathIsStillFound)
+TEST_F(LargeDocumentTest, UnreachableStoreIsDetectedDuringATransfer)
 {
 	start_beside_reader();
 	struct store_faults faults = {};
@@ -89,7 +89,7 @@
  * While the document arrives at a reader, its held call counted as one with
  * nothing to tell: the reader confirmed its old routes to all neighbours.
  */
-TEST_F(LargeDocumentTest, AReaderDoesNotConfirmWhatIsBeingReplaced)
+TEST_F(LargeDocumentTest, ReaderDoesNotConfirmRoutesBeingReplaced)
 {
 	struct beat_vouch vouches[BEAT_MAX_VOUCHES];
 	uint64_t put_us;
@@ -102,7 +102,7 @@
 	put_us = edge_now_us(edge);
 	while (edge->routes->version < 2 &&
 	       edge_now_us(edge) - put_us < 2 * transfer_ms * 1000) {
-		uint32_t count = sync_vouches(sync, vouches);
+		uint32_t count = sync_fill_digests(sync, vouches);
 
 		for (uint32_t i = 0; i < count; i++) {
 			if (vouches[i].table != REGISTRY_CONFIG)
@@ -121,7 +121,7 @@
  * before reads: the answer is given up although its next bytes lie in the
  * socket.
  */
-TEST_F(LargeDocumentTest, AStandstillOfTheProcessIsNoSilence)
+TEST_F(LargeDocumentTest, ProcessStallIsNotATimeout)
 {
 	uint64_t before;
 
@@ -137,7 +137,7 @@
 }
 
 /* Suspended each 2 s, a node never gets a document that takes 2.5 s. */
-TEST_F(LargeDocumentTest, SuspensionsDoNotKeepADocumentAway)
+TEST_F(LargeDocumentTest, SuspensionsDoNotInterruptATransfer)
 {
 	start_beside_reader();
 	narrow_link();
--- a/tests/edge/neighbour_test.cc
+++ b/tests/edge/neighbour_test.cc
@@ -7,7 +7,7 @@
 {
 
 /* A second node, n2, beside the world's own, which the store names to it. */
-class NeighbourTest : public EdgeWorld
+class SyncPeersTest : public EdgeWorld
 {
       protected:
 	void TearDown() override
@@ -66,12 +66,12 @@
 	void vouch_to_second()
 	{
 		struct beat_vouch vouches[BEAT_MAX_VOUCHES];
-		uint32_t count = sync_vouches(sync, vouches);
+		uint32_t count = sync_fill_digests(sync, vouches);
 
 		member_heard(member_table_find(second.members, "n1"), ++beat,
 			     false, edge_now_us(&second));
 		for (uint32_t i = 0; i < count; i++)
-			sync_vouched(second_sync, &vouches[i]);
+			sync_receive_digest(second_sync, &vouches[i]);
 	}
 	/* A beat tells the second node that the server leaves, or has left. */
 	void tell_second_draining(const char *id)
@@ -82,7 +82,7 @@
 				 edge_now_us(&second), &row);
 		row.draining = true;
 		row.version = store_stand_version(store);
-		backend_row_take(&second, &row);
+		backend_row_receive(&second, &row);
 	}
 	void tell_second_left(const char *id)
 	{
@@ -90,7 +90,7 @@
 
 		g_strlcpy(row.id, id, sizeof(row.id));
 		row.version = store_stand_version(store);
-		backend_row_take(&second, &row);
+		backend_row_receive(&second, &row);
 	}
 	/* Other servers' rows change so often; the store holds each change. */
 	void change_others(int times)
@@ -162,7 +162,7 @@
  * and wrote the row that it had written in its life before: six calls to the
  * store. All but the list of nodes is known next door.
  */
-TEST_F(NeighbourTest, ARestartCostsTheStoreOneCall)
+TEST_F(SyncPeersTest, RestartMakesOneCallToTheStore)
 {
 	for (int i = 0; i < 20; i++)
 		add_app("i-" + std::to_string(i));
@@ -182,7 +182,7 @@
 }
 
 /* A node that is new to the table writes its row, and only then. */
-TEST_F(NeighbourTest, ANewNodeMakesItselfKnown)
+TEST_F(SyncPeersTest, NewNodeWritesItsRowOnce)
 {
 	start_first();
 	turn_for(300);
@@ -196,7 +196,7 @@
 }
 
 /* The ones that read first are lost: the node reads for itself in a moment. */
-TEST_F(NeighbourTest, AStartDoesNotWaitForLostNeighbours)
+TEST_F(SyncPeersTest, StartDoesNotWaitForLostPeers)
 {
 	add_app("i-1");
 	start_first(false);
@@ -211,7 +211,7 @@
  * nodes being told. Each of a region's hundred nodes asked the store for what
  * its reader had just read.
  */
-TEST_F(NeighbourTest, WhatTheReaderKnowsIsAskedOfIt)
+TEST_F(SyncPeersTest, MismatchesAreFetchedFromTheReader)
 {
 	App &app = add_app("i-1");
 
@@ -242,7 +242,7 @@
  * reader's link. Asked for in one, neither came, and each node of the region
  * asked the store for a few bytes of routes.
  */
-TEST_F(NeighbourTest, RoutesDoNotWaitForAListOfServers)
+TEST_F(SyncPeersTest, RoutesAreFetchedBeforeALargeBackendList)
 {
 	App &app = add_app("i-1");
 
@@ -272,7 +272,7 @@
  * The reader doesn't answer, though its beats come: its link is full. The store
  * is asked, as soon as for a reader that can't be asked at all.
  */
-TEST_F(NeighbourTest, AReaderThatDoesNotAnswerIsPassedOver)
+TEST_F(SyncPeersTest, UnresponsiveReaderIsReplacedByTheStore)
 {
 	start_both();
 	vouch_to_second();
@@ -290,7 +290,7 @@
  * The neighbour that is asked is the one that is behind: it was cut off from
  * the store. Its table would bring back a server that has left.
  */
-TEST_F(NeighbourTest, AnOlderTableIsNotTaken)
+TEST_F(SyncPeersTest, OlderTableOfAPeerIsIgnored)
 {
 	struct store_faults faults = {};
 
@@ -322,7 +322,7 @@
  * be the readers, so it waited for their word of the routes; ready, it went on
  * waiting, and the word that it gave to all of its region grew old.
  */
-TEST_F(NeighbourTest, AReaderThatBecomesReadyReadsAtOnce)
+TEST_F(SyncPeersTest, ReaderReadsAtOnceWhenReady)
 {
 	add_app("i-1");
 	put_member("n3", dead, 1);
@@ -343,7 +343,7 @@
  * neighbour that had known for long that the server was gone took it from the
  * reader's table as one that is there, and sent requests to it.
  */
-TEST_F(NeighbourTest, AServerThatMayHaveLapsedIsNotTakenForOneThatIsThere)
+TEST_F(SyncPeersTest, ExpiredEntryIsNotAddedByAPeer)
 {
 	for (int i = 0; i < 10; i++)
 		add_app("i-" + std::to_string(i));
@@ -374,7 +374,7 @@
 }
 
 /* A node that knows the server keeps it for as long as the reader does. */
-TEST_F(NeighbourTest, AServerThatMayHaveLapsedIsKeptWhereItIsKnown)
+TEST_F(SyncPeersTest, ExpiredEntryIsKeptWhereItIsKnown)
 {
 	for (int i = 0; i < 10; i++)
 		add_app("i-" + std::to_string(i));
@@ -396,7 +396,7 @@
  * when it was heard, routes that had been replaced were denied by for longer
  * than they may.
  */
-TEST_F(NeighbourTest, AnOldTableIsAsOldAsItIs)
+TEST_F(SyncPeersTest, SnapshotKeepsItsConfirmationTime)
 {
 	add_app("i-1");
 	start_first();
@@ -409,7 +409,7 @@
 }
 
 /* A server that leaves is taken for one that is there, by its older row. */
-TEST_F(NeighbourTest, AnOlderRowDoesNotReplaceANewerWord)
+TEST_F(SyncPeersTest, OlderRowDoesNotReplaceANewerUpdate)
 {
 	App &app = add_app("i-1");
 
@@ -421,7 +421,7 @@
 }
 
 /* The same with one that has left, and is in the table no more. */
-TEST_F(NeighbourTest, AnOlderRowDoesNotBringBackAServerThatLeft)
+TEST_F(SyncPeersTest, OlderRowDoesNotRestoreARemovedServer)
 {
 	App &app = add_app("i-1");
 
@@ -434,7 +434,7 @@
 }
 
 /* A node asks for the next changes as late as if it knew them all. */
-TEST_F(NeighbourTest, APartOfTheChangesIsNotTakenForAllOfThem)
+TEST_F(SyncPeersTest, PartialChangesDoNotConfirmTheTable)
 {
 	App &app = add_app("i-1");
 
@@ -449,7 +449,7 @@
 
 /* Routes change before each question is answered; servers are never asked for.
  */
-TEST_F(NeighbourTest, RoutesThatKeepChangingDoNotKeepServersWaiting)
+TEST_F(SyncPeersTest, FrequentRouteChangesDoNotDelayBackends)
 {
 	App &app = add_app("i-1");
 
@@ -471,31 +471,31 @@
 
 /* Changes that the node knows come again, page after page, before the newest.
  */
-TEST_F(NeighbourTest, AWordThatAgreesMovesTheNodeOnInTheHistory)
+TEST_F(SyncPeersTest, MatchingDigestAdvancesTheVersion)
 {
-	struct sync_view first[SYNC_TABLES];
-	struct sync_view second_views[SYNC_TABLES];
+	struct sync_table_state first[SYNC_TABLES];
+	struct sync_table_state second_views[SYNC_TABLES];
 	App &app = add_app("i-1");
 
 	start_both();
 	turn_for(1000);
-	sync_views(sync, first);
+	sync_table_states(sync, first);
 	uint64_t before = first[REGISTRY_BACKENDS].version;
 	for (int i = 2; i < 10; i++)
 		list_app(app, "ready", "0ms", i);
 	wait_for([&] {
-		sync_views(sync, first);
+		sync_table_states(sync, first);
 		return first[REGISTRY_BACKENDS].version > before;
 	});
 	vouch_to_second();
-	sync_views(second_sync, second_views);
+	sync_table_states(second_sync, second_views);
 	EXPECT_EQ(first[REGISTRY_BACKENDS].version,
 		  second_views[REGISTRY_BACKENDS].version);
 }
 
 /* Each version of a large document comes, of which only the newest is needed.
  */
-TEST_F(NeighbourTest, RoutesThatAreFarBehindAreReadOnce)
+TEST_F(SyncPeersTest, StaleRoutesAreReadInFullOnce)
 {
 	const int routes = 600;
 
@@ -518,7 +518,7 @@
 }
 
 /* The reader is gone: nobody says that there are several newer versions. */
-TEST_F(NeighbourTest, RoutesOfAnOldWordAreReadOnce)
+TEST_F(SyncPeersTest, UnconfirmedRoutesAreReadInFullOnce)
 {
 	extra_routes = routes_named_n(600);
 	put_routes(2);
--- a/tests/edge/sync_test.cc
+++ b/tests/edge/sync_test.cc
@@ -24,8 +24,8 @@
 	}
 	bool has_lost(const char *name)
 	{
-		struct sync_view views[SYNC_TABLES];
-		uint32_t count = sync_views(sync, views);
+		struct sync_table_state views[SYNC_TABLES];
+		uint32_t count = sync_table_states(sync, views);
 
 		for (uint32_t i = 0; i < count; i++)
 			if (!strcmp(views[i].name, name))
@@ -39,7 +39,7 @@
  * refused with 404 for ten seconds more: the call that waits for changes was
  * made while the store was silent, and waits for its own time-out.
  */
-TEST_F(SyncTest, AHeldCallDoesNotOutliveTheStoresSilence)
+TEST_F(SyncTest, HeldCallEndsWhenTheStoreIsBack)
 {
 	add_app("i-1");
 	start_node();
@@ -59,7 +59,7 @@
  * lapsed with the store and send requests there for two seconds more: most
  * other entries are there, so the store wasn't away.
  */
-TEST_F(SyncTest, AServerThatLeftDuringACutIsGoneAtOnce)
+TEST_F(SyncTest, ServerRemovedDuringAPartitionIsDroppedAtOnce)
 {
 	for (int i = 0; i < 10; i++)
 		add_app("i-" + std::to_string(i));
@@ -72,14 +72,14 @@
 			list_app(app, "ready", "0ms", 2);
 	set_silent(false);
 	wait_for([this] { return !knows("i-3"); });
-	EXPECT_LE(sync_lapse_left_us(sync), 250000u);
+	EXPECT_LE(sync_expiry_grace_left_us(sync), 250000u);
 }
 
 /*
  * The same, and nothing else changed meanwhile: the feed names only the one
  * that left. Entries that it doesn't name are there as before, not missing.
  */
-TEST_F(SyncTest, WhatTheFeedDoesNotNameIsNotMissing)
+TEST_F(SyncTest, RowsNotInTheChangeFeedAreNotMissing)
 {
 	for (int i = 0; i < 10; i++)
 		add_app("i-" + std::to_string(i));
@@ -89,7 +89,7 @@
 	store_stand_put(store, "servers", "i-3", nullptr);
 	set_silent(false);
 	wait_for([this] { return !knows("i-3"); });
-	EXPECT_LE(sync_lapse_left_us(sync), 250000u);
+	EXPECT_LE(sync_expiry_grace_left_us(sync), 250000u);
 }
 
 /*
@@ -97,7 +97,7 @@
  * are back in the list within two seconds: a node that dropped them at once
  * would refuse all requests until then.
  */
-TEST_F(SyncTest, EntriesThatLapsedWithTheStoreAreKept)
+TEST_F(SyncTest, EntriesThatExpiredInAStoreOutageAreKept)
 {
 	App &app = add_app("i-1");
 
@@ -123,7 +123,7 @@
 }
 
 /* The history is forgotten while the node follows: it reads the table anew. */
-TEST_F(SyncTest, AForgottenHistoryIsReadAnew)
+TEST_F(SyncTest, LostHistoryCausesAFullRead)
 {
 	add_app("i-1");
 	add_app("i-2");
@@ -141,7 +141,7 @@
 }
 
 /* Versions only go forward, also when an older one comes later. */
-TEST_F(SyncTest, AnOlderVersionIsNotTakenBack)
+TEST_F(SyncTest, OlderVersionIsIgnored)
 {
 	start_node();
 	put_routes(9);
@@ -152,7 +152,7 @@
 }
 
 /* A document that can't be read leaves the one before it in force. */
-TEST_F(SyncTest, ABadDocumentChangesNothing)
+TEST_F(SyncTest, InvalidDocumentChangesNothing)
 {
 	start_node();
 	store_stand_put(store, "op", "config", "{\"version\":2,\"routes\":{");
@@ -164,7 +164,7 @@
  * An evacuated failure domain gets nothing, and its servers count as cold when
  * it is taken back: their caches emptied meanwhile.
  */
-TEST_F(SyncTest, AnEvacuatedDomainGetsNothing)
+TEST_F(SyncTest, EvacuatedDomainGetsNoRequests)
 {
 	add_app("i-1", 20, "s", "d1");
 	add_app("i-2", 20, "s", "d2");
@@ -193,21 +193,21 @@
 	void vouch(uint32_t age_ms, uint64_t differs = 0)
 	{
 		struct beat_vouch vouches[BEAT_MAX_VOUCHES];
-		uint32_t count = sync_vouches(sync, vouches);
+		uint32_t count = sync_fill_digests(sync, vouches);
 
 		member_heard(member_table_find(edge->members, "reader"), ++beat,
 			     false, edge_now_us(edge));
 		for (uint32_t i = 0; i < count; i++) {
 			vouches[i].age_ms = age_ms;
 			vouches[i].digest += differs;
-			sync_vouched(sync, &vouches[i]);
+			sync_receive_digest(sync, &vouches[i]);
 		}
 	}
 	uint64_t beat = 0;
 };
 
 /* While a neighbour vouches, the node makes next to no calls of its own. */
-TEST_F(ReaderSyncTest, ANeighboursWordSparesTheCalls)
+TEST_F(ReaderSyncTest, MatchingDigestsReplaceOwnCalls)
 {
 	add_app("i-1");
 	start_node();
@@ -224,7 +224,7 @@
 
 /* A neighbour that is cut off from the store vouches for what was: not taken.
  */
-TEST_F(ReaderSyncTest, AnOldWordIsNotTaken)
+TEST_F(ReaderSyncTest, OldDigestIsIgnored)
 {
 	add_app("i-1");
 	start_node();
@@ -239,7 +239,7 @@
 }
 
 /* The neighbour knows otherwise: the node asks the store at once. */
-TEST_F(ReaderSyncTest, AnotherWordIsLookedInto)
+TEST_F(ReaderSyncTest, DifferentDigestCausesARead)
 {
 	add_app("i-1");
 	start_node();
@@ -261,7 +261,7 @@
  * changed meanwhile it never asked for, since the call that was to try the path
  * for both tables wasn't made any more. Callers got what older routes say.
  */
-TEST_F(ReaderSyncTest, ATableWithoutAWordIsReadThoughAnotherHasOne)
+TEST_F(ReaderSyncTest, UnconfirmedTableIsReadThoughAnotherIsConfirmed)
 {
 	add_app("i-1");
 	start_node();
@@ -282,7 +282,7 @@
 	uint64_t end_ns = uv_hrtime() + 3000ull * 1000000;
 	while (edge->routes->version != 8 && uv_hrtime() < end_ns) {
 		struct beat_vouch vouches[BEAT_MAX_VOUCHES];
-		uint32_t count = sync_vouches(sync, vouches);
+		uint32_t count = sync_fill_digests(sync, vouches);
 
 		member_heard(member_table_find(edge->members, "reader"), ++beat,
 			     false, edge_now_us(edge));
@@ -290,7 +290,7 @@
 			vouches[i].age_ms = 0;
 			vouches[i].digest += vouches[i].table ==
 					     REGISTRY_CONFIG;
-			sync_vouched(sync, &vouches[i]);
+			sync_receive_digest(sync, &vouches[i]);
 		}
 		turn_for(100);
 	}
@@ -302,7 +302,7 @@
  * everything until the store was back. A neighbour gives it what it knows; a
  * server that left meanwhile isn't in it.
  */
-TEST_F(SyncTest, AStartWithoutTheStoreTakesANeighboursSnapshot)
+TEST_F(SyncTest, StartDuringAStoreOutageUsesAPeersSnapshot)
 {
 	struct edge second = {};
 	struct sync *second_sync;
@@ -324,7 +324,7 @@
 	wait_for([&] {
 		struct endpoint neighbour = at(peers);
 
-		sync_heard_neighbour(second_sync, &neighbour);
+		sync_receive_peer_address(second_sync, &neighbour);
 		return edge_is_ready(&second);
 	});
 	EXPECT_EQ(6u, second.routes->version);
@@ -348,7 +348,7 @@
  * Requests went on to whatever stood there before; the other server, and the
  * one whose own next entry is whole, serve.
  */
-TEST_F(SyncTest, AnEntryThatCannotBeReadNamesNoServer)
+TEST_F(SyncTest, UnreadableEntryRemovesTheServer)
 {
 	App &spoiled = add_app("i-1");
 
@@ -394,7 +394,7 @@
  * connection ran into its time-out. Nothing that was known of the life before
  * holds for this one: neither its connections nor its cache.
  */
-TEST_F(SyncTest, AServerThatStartedAgainUnderItsIdIsAnother)
+TEST_F(SyncTest, RestartedServerIsANewIncarnation)
 {
 	App &before = add_app("i-1");
 
@@ -427,26 +427,26 @@
 }
 
 /* The row of a node that is gone for good is struck from the store. */
-TEST_F(SyncTest, ALostNodesRowIsStruck)
+TEST_F(SyncTest, LostNodesRowIsRemoved)
 {
 	store_stand_put(store, "members", "gone",
 			"{\"domain\":\"d1\",\"region\":\"r1\","
 			"\"front\":\"127.0.0.9:1\",\"peer\":\"127.0.0.9:2\"}");
 	start_node();
 	wait_for([this] { return member_table_count(edge->members) == 2; });
-	sync_strike_lost(sync);
+	sync_remove_lost_member(sync);
 	turn_for(100);
 	ASSERT_NE(nullptr, store_stand_get(store, "members", "gone"));
-	edge->settings.forget_us = 1;
+	edge->settings.member_expiry_us = 1;
 	wait_for([this] {
-		sync_strike_lost(sync);
+		sync_remove_lost_member(sync);
 		return !store_stand_get(store, "members", "gone");
 	});
 	EXPECT_EQ(1u, member_table_count(edge->members));
 }
 
 /* Bytes that are no snapshot bring nothing. */
-TEST(SnapshotTest, OnlyWholeSnapshotsAreRead)
+TEST(SnapshotTest, TruncatedSnapshotsAreRejected)
 {
 	struct snapshot_writer writer;
 	const struct snapshot_table table = { 1, 7, 300 };
@@ -493,7 +493,7 @@
 }
 
 /* Answers of the store are lost after the write was done: written again. */
-TEST_F(SyncTest, ALostAnswerToTheOwnRowIsMadeUpFor)
+TEST_F(SyncTest, OwnRowIsWrittenAgainAfterALostAnswer)
 {
 	struct store_faults faults = {};
 
@@ -509,7 +509,7 @@
 }
 
 /* Before anything is known: refused as not run, and not ready. */
-TEST_F(SyncTest, ANodeThatKnowsNothingPromisesNothing)
+TEST_F(SyncTest, NodeWithoutTablesIsNotReady)
 {
 	set_silent(true);
 	start_node(false);
