--- a/packages/edge/sync_own.c
+++ b/packages/edge/sync_own_row.c
@@ -1,4 +1,4 @@
-#include "edge/sync_parts.h"
+#include "edge/sync_internal.h"
 
 #include "adapters/log.h"
 #include "core/duration.h"
--- a/packages/edge/sync_neighbours.c
+++ b/packages/edge/sync_peers.c
@@ -1,4 +1,4 @@
-#include "edge/sync_parts.h"
+#include "edge/sync_internal.h"
 
 #include <inttypes.h>
 #include <string.h>
