--- a/packages/edge/sync.c
+++ b/packages/edge/sync.c
@@ -3,19 +3,21 @@
 #include "core/duration.h"
 
 /*
- * A beat's word doesn't count its own way: one way of a continent's width, and
- * a queue of half of that time and a quarter of a second on a narrow link.
+ * Added to the age of a confirmation, since a heartbeat's age field doesn't
+ * count its own transit: one way across a continent, half of that time in a
+ * queue and 0.25 s on a narrow link.
  */
 #define HEARTBEAT_DELAY_US (400 * US_PER_MS)
 
 /*
- * Where all nodes start for the first time, each writes its row within this,
- * for a table takes some 200 writes a second, and reads the others' rows then.
+ * At the first start of all nodes each writes its row at a random time within
+ * FIRST_ROW_JITTER_US, since a table accepts some 200 writes per second, and
+ * then reads the others' rows.
  */
 #define FIRST_ROW_JITTER_US (1500 * US_PER_MS)
 #define FIRST_MEMBERS_DELAY_US (2 * US_PER_S)
 
-/* Written anyway after so long, where the table can't be read. */
+/* Own row is written after this time even if the table can't be read. */
 #define OWN_ROW_MAX_DELAY_US (1500 * US_PER_MS)
 
 static void follower_open(struct follower *follower, struct sync *sync,
@@ -36,8 +38,9 @@
 }
 
 /*
- * The members' table comes first, for it says whom to ask for the others. Where
- * all nodes start for the first time it is empty until they have written it.
+ * The members' table is needed first: it names the peers that the other tables
+ * can be had from. At the first start of all nodes it is empty until they have
+ * written it.
  */
 static void schedule_first_steps(struct sync *sync)
 {
@@ -164,7 +167,10 @@
 {
 	uint32_t i;
 
-	/* Cut off each time, an answer that takes longer never arrives. */
+	/*
+	 * An answer that arrives goes on: aborted at each suspension, one that
+	 * takes longer than the time between two of them would never complete.
+	 */
 	for (i = 0; i < FOLLOWERS; i++)
 		if (!lane_is_receiving(&sync->followers[i].lane))
 			lane_abort(&sync->followers[i].lane, "suspended");
--- a/packages/edge/sync_answer.c
+++ b/packages/edge/sync_answer.c
@@ -8,17 +8,20 @@
 #include "edge/quarantine_store.h"
 
 /*
- * Entries of backend servers that lapsed while the platform was away come back
- * within about 2 s of its return. A missing one is kept for as much of this as
- * the part of entries that are missing: where most are there the platform
- * wasn't away, or has long been back, and a missing server has left.
+ * When the platform is back after an outage, expired entries of backend servers
+ * are written again within about 2 s. A missing entry is kept for this time
+ * multiplied by the fraction of entries that are missing: where most are there
+ * the platform wasn't down, or has long been back, and a missing server has
+ * left.
  */
 #define EXPIRY_GRACE_US (2200 * US_PER_MS)
 
-/* An answer's first byte was under way for no longer than this. */
+/* Longest time from sending to receiving the first byte of an answer. */
 #define MAX_FIRST_BYTE_DELAY_US (100 * US_PER_MS)
 
-/* After an answer that was cut short, or a page of a table, at once. */
+/*
+ * Schedules the next call: at once after a partial answer or a page of a table.
+ */
 static void call_next(struct follower *follower,
 		      const struct registry_rows *rows)
 {
@@ -44,7 +47,7 @@
 	g_hash_table_remove_all(follower->seen);
 }
 
-/* Entries that the first rows after the platform was away show as missing. */
+/* Entries missing in the first rows after the platform was unreachable. */
 static uint32_t count_missing(const struct follower *follower,
 			      const struct registry_rows *rows)
 {
@@ -81,10 +84,13 @@
 void follower_keep_row(struct follower *follower,
 		       const struct registry_row *row)
 {
-	/* These are told as they are believed, not as they came. */
+	/*
+	 * Snapshots hold backend servers as in the backend table, not as raw
+	 * rows.
+	 */
 	if (follower->rule->table == REGISTRY_BACKENDS)
 		return;
-	/* Bytes that are no text can't be told to a neighbour. */
+	/* A snapshot can only hold valid UTF-8. */
 	if (row->deleted || !g_utf8_validate(row->value, -1, NULL))
 		g_hash_table_remove(follower->rows, row->key);
 	else
@@ -121,10 +127,11 @@
 }
 
 /*
- * The platform's word is as of when it answered, not of when the answer was
- * whole. One that took seconds to arrive would else be taken for fresh, and
- * what was acknowledged meanwhile denied for as much longer than it may. The
- * same holds for one that waited in its socket while the process stood still.
+ * The answer holds the state of when the platform sent it, not of when its last
+ * byte arrived. Otherwise an answer that took seconds to arrive would count as
+ * fresh, and routes acknowledged meanwhile would be denied for that much
+ * longer. The same holds for one that waited in the socket while the process
+ * stood still.
  */
 static uint64_t answer_as_of_us(const struct follower *follower)
 {
@@ -135,15 +142,15 @@
 	return MAX(follower->called_us, came_us - MIN(came_us, passed_us));
 }
 
-/* What is believed of the table is the platform's word of that time. */
+/* Marks the rows as confirmed by the platform at that time. */
 static void confirm(struct follower *follower, uint64_t as_of_us)
 {
 	follower->confirmed_us = MAX(follower->confirmed_us, as_of_us);
 }
 
 /*
- * The other nodes are known: this node makes itself known where it isn't yet,
- * and can tell whom to ask for the rest.
+ * The members are loaded: writes this node's row if it is missing there, and
+ * lets the other tables choose a peer as their source.
  */
 static void handle_members_loaded(struct sync *sync)
 {
@@ -190,8 +197,8 @@
 		follower->page_as_of_us = answer_as_of_us(follower);
 	}
 	/*
-	 * A replica that lags gives a table as it was: taken for news, it would
-	 * bring back what has left. Ask again.
+	 * A lagging replica sends an older state, which would restore servers
+	 * that have left: ignored, and read again.
 	 */
 	if (rows->version < follower->version)
 		return;
@@ -208,11 +215,12 @@
 }
 
 /*
- * A path to the platform that fell silent holds the other tables' waiting calls
- * for as long as they may wait, also past its return. The short call's time-out
- * tells for all, and so does its success after failures. An answer that is
- * arriving isn't waiting: it may be what fills the link and made the short call
- * late, and cut off it begins anew. Its own silence ends it.
+ * A broken path to the platform would block the held calls of the other tables
+ * for their whole hold, even past its recovery. The time-out of the short call
+ * for backend servers ends them all, and so does its success after failures. An
+ * answer that is arriving is left alone: it may be what fills the link and
+ * delayed the short call, and would start from its first byte. Its own time-out
+ * ends it when no bytes come.
  */
 static void abort_held_calls(struct sync *sync, const struct follower *but)
 {
@@ -225,7 +233,7 @@
 			lane_abort(&sync->followers[i].lane, "silent path");
 }
 
-/* The path is back: calls that still wait on it are made anew. */
+/* The path works again: repeats calls held on it. */
 static void resume_others(struct sync *sync, const struct follower *but)
 {
 	uint32_t i;
@@ -247,7 +255,10 @@
 		log_event(LOG_INFO, "registry-regained",
 			  "table=%s failures=%u gap_us=%" PRIu64,
 			  follower->rule->name, follower->failures, gap_us);
-	/* Without a good answer for so long the platform counts as away. */
+	/*
+	 * The platform counts as unreachable without a valid answer for this
+	 * long.
+	 */
 	if (follower->rule->table == REGISTRY_BACKENDS &&
 	    follower->answered_us &&
 	    (follower->failures ||
@@ -260,9 +271,9 @@
 }
 
 /*
- * The first failure in a row, the second, the fourth and so on: one that goes
- * on for a minute shows in ten lines. What had arrived by then tells a slow
- * path from a silent one.
+ * Logs the first consecutive failure, the second, the fourth and so on, which
+ * is ten lines for one that lasts a minute. The bytes received distinguish a
+ * slow path from one without any answer.
  */
 static void log_failure(const struct follower *follower, const char *cause)
 {
@@ -293,8 +304,8 @@
 }
 
 /*
- * How far behind the node was, and whether the answer went all the way: last is
- * the version of its last row, version where to go on.
+ * Logs how far behind the node was and whether the answer was complete: last is
+ * the version of its last row, version is where to continue.
  */
 static void log_followed(const struct follower *follower,
 			 const struct registry_rows *rows)
@@ -315,8 +326,8 @@
 }
 
 /*
- * Changes up to some number of rows don't confirm what is believed: taken for
- * all, a node would hear of the next ones as late as if there were none.
+ * An answer cut at a maximum of rows doesn't confirm the table: otherwise the
+ * node would fetch the rest as late as if there were none.
  */
 static void apply_changes(struct follower *follower,
 			  const struct registry_rows *rows)
@@ -329,8 +340,8 @@
 }
 
 /*
- * The changes since hold each version of a large document, one after the other,
- * and the table only the newest.
+ * The changes since hold every version of a large document; the table holds
+ * only the newest one.
  */
 static void reread_table(struct follower *follower)
 {
@@ -369,7 +380,7 @@
 			   follower->lane.got_bytes);
 		note_success(follower);
 		if (follower->superseded) {
-			/* A page, or rows older than what is known by now. */
+			/* Rows may be older than the peer's table: ignored. */
 		} else if (!follower->loaded) {
 			apply_page(follower, &rows);
 		} else {
--- a/packages/edge/sync_internal.h
+++ b/packages/edge/sync_internal.h
@@ -1,5 +1,5 @@
 /*
- * sync_parts - what the files of sync share; not for other modules
+ * sync_internal - declarations shared by the files of sync only
  */
 #ifndef EDGE_SYNC_INTERNAL_H
 #define EDGE_SYNC_INTERNAL_H
@@ -9,44 +9,38 @@
 #include "edge/sync.h"
 
 /*
- * Until the answer to a call to the platform begins, beyond the time that it
- * may be held: two round trips of a continent's width, and an answer fifty
- * times slower than usual.
+ * Time-out until an answer of the platform begins, beyond the hold: two round
+ * trips across a continent, and an answer fifty times slower than usual.
  */
 #define SYNC_CALL_TIMEOUT_US (1000 * US_PER_MS)
 
 /*
- * Longest time that an answer of the platform may arrive: one of the largest
- * size, 16 MB, over the narrowest link that nodes have, 10 Mbit/s, takes 13.4
- * s.
+ * Longest transfer of an answer: the largest one, 16 MB, takes 13.4 s over the
+ * narrowest link of a node, 10 Mbit/s.
  */
 #define SYNC_MAX_TRANSFER_US (20 * US_PER_S)
 
 struct follower;
 
-/* A time that is fixed, or a part of that within which changes are known. */
+/* A fixed time, or a percentage of sync_change_deadline_us(). */
 struct follow_time {
 	uint64_t us;
-	uint32_t percent; /* not 0: the part */
+	uint32_t percent; /* 0: us holds */
 };
 
 /* How a table is followed. */
 struct follow_rule {
 	const char *name;
 	enum registry_table table;
-	struct follow_time hold; /* how long the platform may hold a call */
-	struct follow_time interval; /* from one call's start to the next */
-	struct follow_time confirmation_ttl; /* how long a neighbour's word is
-						good */
-	uint64_t max_transfer_us; /* for an answer */
-	uint64_t mismatch_interval_us; /* between reads for a word that differs
-					*/
-	uint32_t max_peer_attempts; /* of neighbours, for one that differs */
-	bool rereads_when_behind; /* where it differs, rather than each change
-				     since */
+	struct follow_time hold; /* the platform holds a call up to this */
+	struct follow_time interval; /* from start to start of two calls */
+	struct follow_time confirmation_ttl; /* of a digest by the reader */
+	uint64_t max_transfer_us; /* of an answer */
+	uint64_t mismatch_interval_us; /* min. between mismatch reads */
+	uint32_t max_peer_attempts; /* for one mismatch */
+	bool rereads_when_behind; /* by a full read, not by all changes since */
 	void (*apply)(struct sync *sync, const struct registry_row *row);
-	/* After a whole read as of that version: what it didn't hold is gone.
-	 */
+	/* Remove what a full read, as of that version, didn't contain. */
 	void (*prune)(struct sync *sync, GHashTable *seen);
 };
 
@@ -55,24 +49,23 @@
 	const struct follow_rule *rule;
 	struct lane lane;
 	uv_timer_t timer;
-	uint64_t version; /* follow from here */
-	bool loaded; /* the table was read whole */
-	char *page_key; /* last key of the pages read so far */
+	uint64_t version; /* changes are read from here on */
+	bool loaded; /* read in full */
+	char *page_key; /* last key read so far; NULL: none */
 	uint64_t page_version; /* version of the first page */
-	uint64_t page_as_of_us; /* when the platform gave it */
-	GHashTable *seen; /* keys of the pages read so far */
-	/* Key -> value, as the platform gave them; not of backend servers. */
+	uint64_t page_as_of_us; /* when the platform sent it */
+	GHashTable *seen; /* keys read so far in this pass */
+	/* Key -> value as the platform sent them; empty for backend servers. */
 	GHashTable *rows;
 	uint64_t called_us;
-	bool superseded; /* a neighbour gave the table while it was out */
-	uint64_t peer_asked_us; /* a neighbour, last */
-	uint32_t peer_attempts; /* of neighbours in a row without the table */
-	enum read_cause cause; /* of the latest step */
-	uint64_t answered_us; /* last good answer */
-	uint64_t confirmed_us; /* the platform confirmed what is believed */
-	uint64_t mismatched_us; /* and by then it said otherwise to a neighbour
-				 */
-	uint32_t failures; /* in a row */
+	bool superseded; /* a peer's table was applied during the call */
+	uint64_t peer_asked_us; /* last request to a peer */
+	uint32_t peer_attempts; /* consecutive requests without the table */
+	enum read_cause cause; /* of the latest read */
+	uint64_t answered_us; /* last valid answer */
+	uint64_t confirmed_us; /* platform's confirmation of the rows */
+	uint64_t mismatched_us; /* as of then the reader's digest differed */
+	uint32_t failures; /* consecutive */
 };
 
 #define FOLLOWERS SYNC_TABLES
@@ -80,74 +73,79 @@
 struct sync {
 	struct edge *edge;
 	struct follower followers[FOLLOWERS];
-	uint64_t started_us; /* when members were known, else the start */
-	struct lane own_lane; /* writes this node's row */
+	uint64_t started_us; /* members loaded, else process start */
+	struct lane own_lane; /* for this node's row */
 	uv_timer_t own_timer;
-	uint32_t own_failures; /* of its writes, in a row */
-	bool own_row_current; /* this node's row is in the table as it should be
-			       */
-	struct lane peer_lane; /* asks a neighbour for tables */
-	uint32_t requested_tables; /* sum of SNAPSHOT_TABLE(); 0: not asking */
-	uint32_t last_requested_tables; /* the same of the latest question */
-	bool requested_from_reader; /* the neighbour asked is the region's
-				       reader */
-	GBytes *snapshot; /* the latest snapshot, for neighbours */
+	uint32_t own_failures; /* consecutive failed writes */
+	bool own_row_current; /* the table has this node's row as it is now */
+	struct lane peer_lane; /* for snapshots of peers */
+	uint32_t requested_tables; /* sum of SNAPSHOT_TABLE(); 0: no request */
+	uint32_t last_requested_tables; /* of the last request */
+	bool requested_from_reader; /* the peer is the region's reader */
+	GBytes *snapshot; /* latest snapshot for peers */
 	uint32_t snapshot_tables;
-	uint64_t snapshot_us; /* when it was made */
-	uint64_t link_busy_until_us; /* see read_may_give() */
-	bool platform_was_away; /* since the last rows of backend servers */
-	bool routes_unreadable; /* the newest routes can't be read */
-	uint64_t expiry_grace_until_us; /* missing backend servers are kept till
-					 * then
-					 */
+	uint64_t snapshot_us; /* when it was built */
+	uint64_t link_busy_until_us; /* for read_may_give() */
+	bool platform_was_away; /* and no backend rows since */
+	bool routes_unreadable; /* newest version can't be decoded */
+	uint64_t expiry_grace_until_us; /* missing servers are kept */
 };
 
-/* sync_plan.c: how each table is followed. */
+/* sync_plan.c: rules by table. */
 extern const struct follow_rule follow_rules[FOLLOWERS];
 
-/* sync_plan.c: how soon what the platform says must be known here. */
+/*
+ * sync_plan.c: time within which a change at the platform must be in force
+ * here.
+ */
 uint64_t sync_change_deadline_us(const struct edge *edge);
 
-/* sync_plan.c: this node among those of its region that may read. */
+/*
+ * sync_plan.c: rank of this node among those of its region that may read, or
+ * READ_RANK_UNKNOWN.
+ */
 uint32_t sync_own_rank(const struct sync *sync);
 
 uint64_t follower_time_us(const struct follower *follower,
 			  const struct follow_time *time);
 
-/* sync_plan.c: ask the platform now; no call may be out for longer than its
- * time. */
+/* sync_plan.c: call the platform now, unless a call is in progress. */
 void follower_call(struct follower *follower);
 
-/* sync_plan.c: ask whom the plan says, or wait. */
+/* sync_plan.c: read from the source that the plan chooses, or wait. */
 void follower_step(struct follower *follower);
 
-/* sync_plan.c: look again after so long. */
+/* sync_plan.c: run follower_step() after this delay. */
 void follower_step_later(struct follower *follower, uint64_t delay_us);
 
-/* sync_answer.c: the platform's answer, NULL without one; see lane_done. */
+/*
+ * sync_answer.c: handle the platform's answer, NULL without one; see lane_done.
+ */
 void follower_answered(void *context, const struct message *answer,
 		       const char *cause);
 
-/* sync_answer.c: a pass over the whole table ends; what it didn't hold is gone.
- */
+/* sync_answer.c: end a full read; remove rows that it didn't contain. */
 void follower_end_pass(struct follower *follower, uint64_t version,
 		       uint64_t as_of_us);
 
-/* sync_answer.c: keep the row as the platform gave it. */
+/* sync_answer.c: store the row as the platform sent it. */
 void follower_keep_row(struct follower *follower,
 		       const struct registry_row *row);
 
-/* sync_neighbours.c: ask a neighbour for what this node should know. */
+/* sync_peers.c: request from a peer the tables that are missing or differ. */
 void sync_ask_peer(struct sync *sync);
 
-/* sync_neighbours.c: whether the reader's word was another one lately. */
+/*
+ * sync_peers.c: whether the reader's digest differed since the last
+ * confirmation.
+ */
 bool follower_has_mismatch(const struct follower *follower);
 
-/* sync_own.c: write this node's own row, again if need be. */
+/* sync_own_row.c: write this node's own row; retried until it succeeds. */
 void sync_write_own_row(struct sync *sync);
 void sync_write_own_row_later(struct sync *sync, uint64_t delay_us);
 
-/* sync_tables.c: what a row says, and what a whole table doesn't say. */
+/* sync_tables.c: apply a row; remove what a full read didn't contain. */
 void apply_config_row(struct sync *sync, const struct registry_row *row);
 void prune_config(struct sync *sync, GHashTable *seen);
 void apply_backend_row(struct sync *sync, const struct registry_row *row);
