--- a/packages/edge/backend_row.c
+++ b/packages/edge/backend_row.c
@@ -3,8 +3,9 @@
 #include "core/duration.h"
 
 /*
- * A server whose entry says that it is cold is told as cold, also where that
- * time is over: two nodes that differ in this differ in their digests.
+ * A server listed as cold is sent as cold, with at least 1 ms, even when its
+ * warm-up is over: the digest includes this flag, and nodes that differ in it
+ * would have different digests.
  */
 static uint32_t cold_left_ms(const struct backend *backend, uint64_t now_us)
 {
--- a/packages/edge/backend_row.h
+++ b/packages/edge/backend_row.h
@@ -1,5 +1,5 @@
 /*
- * backend_row - a backend server between the table and what nodes tell others
+ * backend_row - converts backend servers to and from rows for peers
  */
 #ifndef EDGE_BACKEND_ROW_H
 #define EDGE_BACKEND_ROW_H
@@ -11,11 +11,14 @@
 extern "C" {
 #endif
 
-/* What the platform's list says of it, as far as it is known here. */
+/* Fill in the row with what is known of the server's entry at the platform. */
 void backend_row_fill(const struct backend *backend, uint64_t now_us,
 		      struct beat_row *row);
 
-/* Put what a neighbour says into the table. */
+/*
+ * Apply a peer's row to the backend table. An empty service: the server has
+ * left.
+ */
 void backend_row_receive(struct edge *edge, const struct beat_row *row);
 
 #ifdef __cplusplus
--- a/packages/edge/edge_settings.c
+++ b/packages/edge/edge_settings.c
@@ -15,7 +15,7 @@
 	KIND_ENDPOINT,
 	KIND_DURATION, /* "250ms" */
 	KIND_COUNT, /* uint32_t */
-	KIND_NUMBER, /* text of a number, double */
+	KIND_NUMBER, /* decimal number, double */
 	KIND_LEVEL,
 	KIND_FLAG,
 };
@@ -70,7 +70,7 @@
 	return false;
 }
 
-/* Store the text; NULL, or what would be allowed. */
+/* Parse and store the text. Returns NULL, or what is allowed. */
 static const char *store_name(void *at, const char *text)
 {
 	if (!*text || strlen(text) >= NAME_SIZE)
@@ -212,7 +212,7 @@
 		}
 		store(settings_loader->settings, setting, setting->fallback);
 	}
-	/* Each failure domain has entry VMs of its own. */
+	/* Each failure domain has at least one entry VM. */
 	settings_loader->settings->min_nodes =
 		MAX(settings_loader->settings->min_nodes,
 		    g_hash_table_size(settings_loader->settings->regions));
--- a/packages/edge/quarantine_store.c
+++ b/packages/edge/quarantine_store.c
@@ -8,10 +8,13 @@
 #include "core/read_plan.h"
 #include "edge/lane.h"
 
-/* Until an answer of the platform begins. */
+/* Time-out until an answer of the platform begins. */
 #define CALL_TIMEOUT_US (1000 * US_PER_MS)
 
-/* Rows that wait to be written; more than servers crash in a store's outage. */
+/*
+ * Limit of rows waiting for a write; more than the servers that crash in an
+ * outage of the store.
+ */
 #define MAX_PENDING_ROWS 64
 
 /* 16 hexadecimal digits and the NUL. */
@@ -21,20 +24,18 @@
 	struct edge *edge;
 	struct lane lane;
 	uv_timer_t timer;
-	bool members_known; /* and so who reads */
-	bool read_done; /* the rows were read, or others of the region do it */
-	char *page_key; /* last key of the pages read so far; NULL: none */
-	uint32_t rows; /* in these */
-	uint64_t pending[MAX_PENDING_ROWS]; /* fingerprints of rows to be
-					       written */
+	bool members_known; /* needed to know which nodes read */
+	bool read_done; /* rows read, or left to other nodes */
+	char *page_key; /* last key read so far; NULL: none */
+	uint32_t rows; /* rows read so far */
+	uint64_t pending[MAX_PENDING_ROWS]; /* fingerprints to write */
 	uint32_t pending_count;
-	uint64_t writing; /* of these, the one whose call is out */
-	bool changed; /* it changed since that call was made */
-	uint64_t own_rows[MAX_PENDING_ROWS]; /* fingerprints whose rows this
-					      * node wrote
-					      */
+	uint64_t writing; /* fingerprint of the write in progress */
+	bool changed; /* changed during that write */
+	uint64_t own_rows[MAX_PENDING_ROWS]; /* fingerprints that this node
+						wrote */
 	uint32_t own_row_count;
-	uint32_t failures; /* of calls, in a row */
+	uint32_t failures; /* consecutive failed calls */
 };
 
 static void step(struct quarantine_store *store);
@@ -181,7 +182,10 @@
 
 /* --- reading ------------------------------------------------------------ */
 
-/* Clocks of two nodes differ by little against a quarantine. */
+/*
+ * Time since the row was written. The clocks of nodes differ by little compared
+ * with a quarantine's length.
+ */
 static uint64_t elapsed_ms(const struct quarantine_record *record)
 {
 	uint64_t now_ms = wall_clock_ms();
@@ -196,7 +200,7 @@
 	return ms < record->left_ms ? (record->left_ms - ms) * US_PER_MS : 0;
 }
 
-/* Ended for so long that nodes have forgotten it. */
+/* Ended longer ago than nodes keep a suspect. */
 static bool is_expired(const struct quarantine_record *record)
 {
 	uint64_t ms = elapsed_ms(record);
@@ -264,7 +268,10 @@
 	quarantine_record_release(&record);
 }
 
-/* Where there are more rows, the next page begins after the last one. */
+/*
+ * After the last page the read is done; otherwise the next page begins after
+ * the last key.
+ */
 static void end_page(struct quarantine_store *store,
 		     const struct registry_rows *rows)
 {
@@ -331,7 +338,7 @@
 
 	if (lane_is_busy(&store->lane))
 		return;
-	/* Before the members are known, nobody knows who reads. */
+	/* The members decide which nodes read. */
 	if (!store->read_done && !store->members_known)
 		return;
 	if (!store->read_done &&
--- a/packages/edge/quarantine_store.h
+++ b/packages/edge/quarantine_store.h
@@ -1,10 +1,10 @@
 /*
  * quarantine_store - quarantined requests in the platform's store
  *
- * What nodes tell each other of quarantines is gone when all of them die at
- * once. The node that sees a quarantine begin writes a row. Of each region
- * those that read the other tables at a start read the rows, too, before they
- * serve; beats bring them to the others. Not thread-safe.
+ * Quarantines that nodes exchange are lost when all nodes fail at once, so the
+ * node that sees a quarantine begin writes a row. In each region the nodes that
+ * read the other tables first at a start also read these rows, before they
+ * serve; heartbeats bring them to the other nodes. Not thread-safe.
  */
 #ifndef EDGE_QUARANTINE_STORE_H
 #define EDGE_QUARANTINE_STORE_H
@@ -18,29 +18,31 @@
 struct quarantine_store;
 
 struct quarantine_store *quarantine_store_open(struct edge *edge);
-/* End all calls. The memory may be freed once the loop has turned. */
+/* End all calls. The memory may be freed after one more turn of the loop. */
 void quarantine_store_close(struct quarantine_store *store);
 
-/* Write the row anew: the quarantine began, goes on, or was ended. */
+/*
+ * Write the request's row as it is now: its quarantine began, changed or ended.
+ */
 void quarantine_store_write(struct quarantine_store *store,
 			    uint64_t fingerprint);
 
 /*
- * Remove rows that this node wrote for requests that aren't quarantined any
- * more: what other nodes told since may speak for them.
+ * Remove rows that this node wrote for requests no longer quarantined: updates
+ * of other nodes may have lifted the quarantine.
  */
 void quarantine_store_remove_lifted(struct quarantine_store *store);
 
-/* The nodes of the region are known, and so who reads. */
+/* The region's nodes are known, and so which of them read the rows. */
 void quarantine_store_members_known(struct quarantine_store *store);
 
 /*
- * Whether this node is reading the rows, after its start. What it sends before
- * may be a request that has crashed servers.
+ * Whether this node is still reading the rows after its start. Until then it
+ * may send a request that has crashed servers.
  */
 bool quarantine_store_is_reading(const struct quarantine_store *store);
 
-/* The platform has another address. */
+/* Set another address of the platform. */
 void quarantine_store_redirect(struct quarantine_store *store,
 			       const struct endpoint *to);
 
--- a/packages/edge/sync_peers.c
+++ b/packages/edge/sync_peers.c
@@ -10,20 +10,20 @@
 #include "edge/snapshot.h"
 
 /*
- * A snapshot is given to all who ask within this, for most of them ask at once.
- * Its ages are told larger by it.
+ * A snapshot is reused for all peers that ask within this time, since most ask
+ * at once. The ages in it are raised by the same amount.
  */
 #define SNAPSHOT_TTL_US (100 * US_PER_MS)
 
 /*
- * Until a neighbour's answer begins: one of this region is near, and another
- * one, or the platform, is asked instead.
+ * Time-out until a peer's answer begins: peers of the region are near, and
+ * another peer or the platform can be asked instead.
  */
 #define SNAPSHOT_TIMEOUT_US (300 * US_PER_MS)
 
 static bool is_unreadable(const struct follower *follower);
 
-/* --- giving ------------------------------------------------------------- */
+/* --- serving snapshots -------------------------------------------------- */
 
 static void add_rows(const struct follower *follower,
 		     struct snapshot_writer *writer)
@@ -81,7 +81,7 @@
 		add_rows(follower, writer);
 }
 
-/* Without what this node itself doesn't know whole, or can't read. */
+/* Omits tables that this node hasn't loaded or can't decode. */
 static GBytes *make_snapshot(const struct sync *sync, uint32_t tables)
 {
 	struct snapshot_writer writer;
@@ -120,9 +120,9 @@
 	return g_bytes_ref(sync->snapshot);
 }
 
-/* --- asking ------------------------------------------------------------- */
+/* --- requesting snapshots ----------------------------------------------- */
 
-/* A snapshot as it is read. */
+/* A peer's snapshot while it is decoded. */
 struct snapshot_import {
 	struct sync *sync;
 	bool accepts[FOLLOWERS];
@@ -130,8 +130,8 @@
 };
 
 /*
- * A table is taken where it was asked for and isn't older than what this node
- * has: the neighbour may be the one that is behind.
+ * Accepts a table that was requested and isn't older than this node's: the peer
+ * may be the one that is behind.
  */
 static void import_table(void *context, const struct snapshot_table *table)
 {
@@ -195,9 +195,9 @@
 }
 
 /*
- * The neighbour keeps a server whose entry is missing for a moment, since it
- * may have lapsed with the platform. A node that knows the server keeps it as
- * well; one that has dropped it doesn't take it for one that is there.
+ * The peer keeps a server whose entry expired, for its expiry grace. A node
+ * that has the server keeps it as well; one that has removed it doesn't add it
+ * again.
  */
 static void import_expired(void *context, const char *id)
 {
@@ -210,8 +210,9 @@
 }
 
 /*
- * The table is the platform's word of when it was confirmed to the neighbour,
- * counted back from when that was asked, which is before it answered.
+ * The table was confirmed by the platform age_us before the peer's answer.
+ * Counted from the time of the request, which is earlier, so the age is never
+ * too low.
  */
 static void finish_table(struct snapshot_import *snapshot_import,
 			 struct follower *follower)
@@ -277,10 +278,10 @@
 }
 
 /*
- * The tables that a neighbour should be asked for. Routes that differ are asked
- * for alone: they are few bytes and needed soon, and a list of all servers may
- * have to wait for room on the neighbour's link. The others have every second
- * question, since routes may change faster than they can be asked for.
+ * Tables to request from a peer. Routes that differ are requested alone: they
+ * are small and urgent, and a list of all servers may have to wait for capacity
+ * on the peer's link. The other tables get every second request, since routes
+ * may change faster than they can be fetched.
  */
 static uint32_t tables_to_request(const struct sync *sync)
 {
@@ -330,9 +331,9 @@
 }
 
 /*
- * The reader knows what it vouches for. A node that starts knows of no reader
- * yet; it asks those that read first, beginning with another one than the next
- * node does.
+ * Asks the region's reader, which has what its digests cover. A node that isn't
+ * ready knows no reader yet; it asks one of the first readers, each node
+ * starting with a different one.
  */
 void sync_ask_peer(struct sync *sync)
 {
@@ -376,7 +377,7 @@
 	request_snapshot(sync, from);
 }
 
-/* --- one reader a region ------------------------------------------------ */
+/* --- digests of the region's reader ------------------------------------- */
 
 static uint64_t config_digest(const struct edge *edge)
 {
@@ -401,15 +402,15 @@
 		return backend_table_digest(edge->backends);
 	case REGISTRY_MEMBERS:
 		return member_table_digest(edge->members);
-	case REGISTRY_QUARANTINES: /* nobody follows it */
+	case REGISTRY_QUARANTINES: /* not followed */
 		break;
 	}
 	return 0;
 }
 
 /*
- * A reader whose newest routes can't be read knows no routes to vouch for: its
- * neighbours, content with the same old ones, would never ask.
+ * A reader that can't decode the newest routes sends no digest of them: its
+ * peers, which have the same old routes, would never ask for the new ones.
  */
 static bool is_unreadable(const struct follower *follower)
 {
--- a/packages/edge/sync_plan.c
+++ b/packages/edge/sync_plan.c
@@ -6,11 +6,12 @@
 #include "core/duration.h"
 
 /*
- * Of the time within which a change must be known: how long a call for routes
- * is held, one for backend servers, the time from one of these to the next, and
- * how long a neighbour's word is good. A call that is answered at once is
- * followed by a pause and one that is held, so the word is up to the sum of the
- * first two old. The rest is for a call of one's own, after one that failed.
+ * Percentages of sync_change_deadline_us(): the hold of a call for routes, the
+ * hold of one for backend servers, the interval between two of these, and how
+ * long a digest's confirmation is valid. A call that is answered at once is
+ * followed by a pause and a held call, so a confirmation gets as old as
+ * interval and hold together. The rest of the time is left for this node's own
+ * call, after one that failed.
  */
 #define CONFIG_HOLD_PERCENT 36
 #define HOLD_PERCENT 20
@@ -19,50 +20,51 @@
 G_STATIC_ASSERT(HOLD_PERCENT + INTERVAL_PERCENT < CONFIRMATION_TTL_PERCENT);
 
 /*
- * Members' rows may be known late: beats tell who lives. The word outlasts two
- * of the reader's own calls.
+ * Members' rows may be late, since heartbeats show which nodes are live. A
+ * confirmation outlasts two calls of the reader.
  */
 #define MEMBERS_INTERVAL_US (20 * US_PER_S)
 #define MEMBERS_CONFIRMATION_TTL_US (50 * US_PER_S)
 
 /*
- * Between two calls because a neighbour knows otherwise: where this node is the
- * one that knows more, the neighbour has caught up by then. Members may be
- * known later than the rest, and all change theirs when all start.
+ * Least time between two reads because of a mismatch: where this node has the
+ * newer table, the peer has caught up by then. Members are less urgent, and all
+ * rows change when all nodes start.
  */
 #define MISMATCH_INTERVAL_US (800 * US_PER_MS)
 #define MEMBERS_MISMATCH_INTERVAL_US (2 * US_PER_S)
 
 /*
- * Neighbours asked for what differs before the platform is. One for routes: a
- * large document doesn't fit a neighbour's link, and must be there soon.
+ * Peers asked about a mismatch before the platform is. Only one for routes:
+ * they are urgent, and a large document doesn't fit a peer's link.
  */
 #define MAX_PEER_ATTEMPTS 8
 
 /*
- * An answer about backend servers: what it says grows old as it comes,
- * and a new connection may be quick where this one trickles. A page of 1 MB
- * takes 0.8 s over 10 Mbit/s, which callers' traffic may fill at the time.
+ * Longest transfer of backend rows: they get out of date as they arrive, and a
+ * new connection may be fast where this one is slow. A page of 1 MB takes 0.8 s
+ * over 10 Mbit/s, which callers' traffic may fill at the same time.
  */
 #define BACKENDS_MAX_TRANSFER_US (5 * US_PER_S)
 
 /*
- * Changes that are so much larger than the whole table hold more than its
- * newest rows: it is read whole instead. Below the least size either is quick.
+ * Changes larger than this percentage of the whole table hold more than its
+ * newest rows: the table is read in full instead. Below the minimum in bytes
+ * either is fast.
  */
 #define MAX_CHANGES_PERCENT 150
 #define MIN_CHANGES_LIMIT_BYTES (64 * 1024)
 
-/* A row's names and version in an answer. */
+/* Estimate of a row's field names and version in an answer, in bytes. */
 #define ROW_OVERHEAD_BYTES 200
 
 const struct follow_rule follow_rules[FOLLOWERS] = {
 	/*
-	 * Changes are rare and must be in force soon: held calls. Until one is
-	 * answered nothing is confirmed, and a connection that fell silent
-	 * shows when it isn't: the hold and what a beat needs stay below a
-	 * neighbour's word, hold and time-out near the time within which a
-	 * change must be known.
+	 * Changes are rare and must be in force soon: held calls. Nothing is
+	 * confirmed until a held call is answered, and a broken connection
+	 * shows only by its time-out. So the hold plus a heartbeat's delay
+	 * stays below the confirmation's TTL, and the hold plus the time-out
+	 * close to the change deadline.
 	 */
 	{
 		.name = "config",
@@ -77,7 +79,7 @@
 		.apply = apply_config_row,
 		.prune = prune_config,
 	},
-	/* Held for so short that its answers tell of the path, too. */
+	/* The hold is short, so that a time-out also detects a broken path. */
 	{
 		.name = "backends",
 		.table = REGISTRY_BACKENDS,
@@ -104,7 +106,7 @@
 	},
 };
 
-/* How soon what the platform says must be known here. */
+/* Time within which a change at the platform must be in force here. */
 uint64_t sync_change_deadline_us(const struct edge *edge)
 {
 	return MIN(edge->settings.leave_within_us,
@@ -134,7 +136,7 @@
 	return member_table_read_rank(sync->edge->members);
 }
 
-/* Nobody can tell a node which nodes there are before it has read that. */
+/* A node must read the members from the platform before it knows any peer. */
 static uint32_t read_rank(const struct follower *follower)
 {
 	if (follower->rule->table == REGISTRY_MEMBERS)
@@ -142,7 +144,7 @@
 	return sync_own_rank(follower->sync);
 }
 
-/* Whether nobody has vouched for the table for as long as a word is good. */
+/* Whether the last confirmation is older than its TTL. */
 static bool confirmation_expired(const struct follower *follower)
 {
 	uint64_t until_us =
@@ -153,8 +155,8 @@
 }
 
 /*
- * Whether its calls fail and go on. Where a neighbour's word spares them they
- * don't, and nobody would notice that the path is back.
+ * Whether its calls fail and are being retried. Where a digest confirms the
+ * table there are no calls, and the path's recovery would go unnoticed.
  */
 static bool is_retrying(const struct follower *follower)
 {
@@ -212,12 +214,16 @@
 }
 
 /*
- * A held call tells of a change at once. A node that has a neighbour's word
- * calls because the word differs: what there is to know is there already.
+ * How long the platform may hold a call. Only the reader holds calls, to learn
+ * of changes at once; other nodes call because of a mismatch, whose rows are at
+ * the platform already.
  */
 static uint64_t wait_us(const struct follower *follower)
 {
-	/* After a failure there is much to know, and the path to be tried. */
+	/*
+	 * After a failure changes are likely to be there, and a fast answer
+	 * tests the path.
+	 */
 	if (follower->failures)
 		return 0;
 	if (!reads_for_region(follower->sync))
@@ -230,14 +236,14 @@
 	return (bytes + 2) / 3 * 4;
 }
 
-/* Whether more than the latest change may have been missed. */
+/* Whether more than the latest change may be missing here. */
 static bool may_be_behind(const struct follower *follower)
 {
 	return follower_has_mismatch(follower) ||
 	       confirmation_expired(follower);
 }
 
-/* How large an answer about changes may be; 0: as large as any. */
+/* Size limit of an answer with changes, in bytes; 0: no limit of its own. */
 static uint64_t max_changes_bytes(const struct follower *follower)
 {
 	uint64_t whole_bytes = 0;
--- a/packages/edge/sync_tables.c
+++ b/packages/edge/sync_tables.c
@@ -26,7 +26,7 @@
 		g_error_free(error);
 		return;
 	}
-	/* Answers can come out of order; a node never goes back. */
+	/* Answers may arrive out of order; an older version is ignored. */
 	if (edge->routes && table->version <= edge->routes->version) {
 		route_table_unref(table);
 		return;
@@ -39,7 +39,7 @@
 	edge->routes = table;
 }
 
-/* The longest time that a backend server of any service is cold. */
+/* Longest warm-up of any service's backend servers. */
 static uint64_t longest_warmup_us(const struct edge *edge)
 {
 	uint64_t longest_us = 0;
@@ -130,7 +130,10 @@
 			     sync->expiry_grace_until_us, now_us);
 }
 
-/* The first list is one line of the log, not one for each server. */
+/*
+ * Whether a row is logged: the first full read is one log line, not one per
+ * server.
+ */
 static bool is_logged_change(const struct edge *edge,
 			     const struct backend *known,
 			     const struct backend_record *record)
@@ -177,9 +180,9 @@
 }
 
 /*
- * Its entry can't be read: another writer's, or spoiled. It names no server to
- * use, and nothing tells that the one known by this id is still there. Requests
- * that run there go on; its own next entry brings it back.
+ * The entry can't be decoded, written by another writer or damaged: it names no
+ * usable server, and whether the server known by this id still exists is
+ * unknown. Requests that run there go on; its next valid entry restores it.
  */
 static void drop_backend(struct sync *sync, const char *id, uint64_t version)
 {
@@ -256,7 +259,10 @@
 	return a->port == b->port && !strcmp(a->address, b->address);
 }
 
-/* A row that a life of this node before wrote may still say what it should. */
+/*
+ * Whether the row has this node's present settings; an earlier process of this
+ * node may have written it.
+ */
 static bool is_own_row(const struct edge *edge, const char *value)
 {
 	const struct edge_settings *settings = &edge->settings;
