--- a/packages/edge/edge_settings.c
+++ b/packages/edge/edge_settings.c
@@ -84,14 +84,14 @@
 	memset(at, 0, sizeof(struct endpoint));
 	if (!*text || endpoint_parse(text, at))
 		return NULL;
-	return "an IPv4 address and a port, as 10.0.0.1:8080";
+	return "an IPv4 address and a port, such as 10.0.0.1:8080";
 }
 
 static const char *store_duration(void *at, const char *text)
 {
 	if (duration_parse(text, at) && *(uint64_t *)at)
 		return NULL;
-	return "a time above 0 with its unit, as 250ms or 2s";
+	return "a duration above 0 with its unit, such as 250ms or 2s";
 }
 
 static const char *store_number(void *at, const char *text)
@@ -109,7 +109,7 @@
 	guint64 count;
 
 	if (!g_ascii_string_to_unsigned(text, 10, 1, 100000, &count, NULL))
-		return "a whole number of 1 to 100000";
+		return "an integer from 1 to 100000";
 	*(uint32_t *)at = (uint32_t)count;
 	return NULL;
 }
@@ -167,77 +167,71 @@
 
 static bool visit(void *context, const struct toml_value *value, GError **error)
 {
-	struct settings_loader *settings_loader = context;
+	struct settings_loader *loader = context;
 	const char *allowed;
 	int i;
 
 	if (value->type != TOML_STRING)
-		return set_invalid(error, settings_loader->path, value->line,
-				   value->key, "a text in quotes");
+		return set_invalid(error, loader->path, value->line, value->key,
+				   "a string in quotes");
 	if (!strcmp(value->table, "domains")) {
-		g_hash_table_insert(settings_loader->settings->regions,
+		g_hash_table_insert(loader->settings->regions,
 				    g_strdup(value->key),
 				    g_strdup(value->string));
 		return true;
 	}
 	i = find_setting(value);
 	if (i < 0)
-		return set_invalid(error, settings_loader->path, value->line,
-				   value->key,
-				   "a key that docs/SETTINGS.md lists");
-	settings_loader->seen[i] = true;
-	allowed = store(settings_loader->settings, &setting_list[i],
-			value->string);
-	return !allowed || set_invalid(error, settings_loader->path,
-				       value->line, value->key, allowed);
+		return set_invalid(error, loader->path, value->line, value->key,
+				   "a key listed in docs/SETTINGS.md");
+	loader->seen[i] = true;
+	allowed = store(loader->settings, &setting_list[i], value->string);
+	return !allowed || set_invalid(error, loader->path, value->line,
+				       value->key, allowed);
 }
 
-static bool apply_defaults(const struct settings_loader *settings_loader,
-			   GError **error)
+static bool apply_defaults(const struct settings_loader *loader, GError **error)
 {
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(setting_list); i++) {
 		const struct setting *setting = &setting_list[i];
 
-		if (settings_loader->seen[i])
+		if (loader->seen[i])
 			continue;
 		if (!setting->fallback) {
 			g_set_error(error, RESULT_ERROR,
 				    RESULT_SETTINGS_INVALID,
-				    "%s: [%s] %s is missing",
-				    settings_loader->path, setting->table,
-				    setting->key);
+				    "%s: [%s] %s is missing", loader->path,
+				    setting->table, setting->key);
 			return false;
 		}
-		store(settings_loader->settings, setting, setting->fallback);
+		store(loader->settings, setting, setting->fallback);
 	}
 	/* Each failure domain has at least one entry VM. */
-	settings_loader->settings->min_nodes =
-		MAX(settings_loader->settings->min_nodes,
-		    g_hash_table_size(settings_loader->settings->regions));
+	loader->settings->min_nodes =
+		MAX(loader->settings->min_nodes,
+		    g_hash_table_size(loader->settings->regions));
 	return true;
 }
 
-static bool read_text(struct settings_loader *settings_loader, const char *text,
+static bool read_text(struct settings_loader *loader, const char *text,
 		      size_t length, GError **error)
 {
 	if (length > FILE_MAX_BYTES) {
 		g_set_error(error, RESULT_ERROR, RESULT_SETTINGS_INVALID,
-			    "%s: larger than %d bytes", settings_loader->path,
+			    "%s: larger than %d bytes", loader->path,
 			    FILE_MAX_BYTES);
 		return false;
 	}
-	return toml_visit(settings_loader->path, text, length, visit,
-			  settings_loader, error) &&
-	       apply_defaults(settings_loader, error);
+	return toml_visit(loader->path, text, length, visit, loader, error) &&
+	       apply_defaults(loader, error);
 }
 
 bool edge_settings_load(struct edge_settings *settings, const char *path,
 			GError **error)
 {
-	struct settings_loader settings_loader = { .settings = settings,
-						   .path = path };
+	struct settings_loader loader = { .settings = settings, .path = path };
 	GError *cause = NULL;
 	char *text = NULL;
 	gsize length = 0;
@@ -252,7 +246,7 @@
 	}
 	settings->regions =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	good = read_text(&settings_loader, text, length, error);
+	good = read_text(&loader, text, length, error);
 	g_free(text);
 	if (!good)
 		edge_settings_release(settings);
--- a/packages/edge/sync_answer.c
+++ b/packages/edge/sync_answer.c
@@ -135,11 +135,12 @@
  */
 static uint64_t answer_as_of_us(const struct follower *follower)
 {
-	uint64_t came_us = edge_came_by_us(follower->sync->edge);
-	uint64_t passed_us =
+	uint64_t received_us = edge_came_by_us(follower->sync->edge);
+	uint64_t elapsed_us =
 		lane_arrival_us(&follower->lane) + MAX_FIRST_BYTE_DELAY_US;
 
-	return MAX(follower->called_us, came_us - MIN(came_us, passed_us));
+	return MAX(follower->called_us,
+		   received_us - MIN(received_us, elapsed_us));
 }
 
 /* Marks the rows as confirmed by the platform at that time. */
@@ -222,25 +223,26 @@
  * delayed the short call, and would start from its first byte. Its own time-out
  * ends it when no bytes come.
  */
-static void abort_held_calls(struct sync *sync, const struct follower *but)
+static void abort_held_calls(struct sync *sync, const struct follower *except)
 {
 	uint32_t i;
 
 	for (i = 0; i < FOLLOWERS; i++)
-		if (&sync->followers[i] != but &&
-		    sync->followers[i].called_us <= but->called_us &&
+		if (&sync->followers[i] != except &&
+		    sync->followers[i].called_us <= except->called_us &&
 		    !lane_is_receiving(&sync->followers[i].lane))
-			lane_abort(&sync->followers[i].lane, "silent path");
+			lane_abort(&sync->followers[i].lane,
+				   "path unreachable");
 }
 
 /* The path works again: repeats calls held on it. */
-static void resume_others(struct sync *sync, const struct follower *but)
+static void resume_others(struct sync *sync, const struct follower *except)
 {
 	uint32_t i;
 
-	abort_held_calls(sync, but);
+	abort_held_calls(sync, except);
 	for (i = 0; i < FOLLOWERS; i++)
-		if (&sync->followers[i] != but &&
+		if (&sync->followers[i] != except &&
 		    !lane_is_busy(&sync->followers[i].lane))
 			follower_step_later(&sync->followers[i], 0);
 }
@@ -364,10 +366,11 @@
 		return;
 	}
 	if (!answer) {
-		bool silent = !strcmp(cause, "timeout") && !follower->failures;
+		bool first_timeout = !strcmp(cause, "timeout") &&
+				     !follower->failures;
 
 		note_failure(follower, cause);
-		if (silent && follower->rule->table == REGISTRY_BACKENDS)
+		if (first_timeout && follower->rule->table == REGISTRY_BACKENDS)
 			abort_held_calls(follower->sync, follower);
 		return;
 	}
--- a/packages/edge/sync_peers.c
+++ b/packages/edge/sync_peers.c
@@ -135,38 +135,37 @@
  */
 static void import_table(void *context, const struct snapshot_table *table)
 {
-	struct snapshot_import *snapshot_import = context;
+	struct snapshot_import *import = context;
 	struct follower *follower;
 
 	if (table->table >= FOLLOWERS ||
-	    !(snapshot_import->sync->requested_tables &
-	      SNAPSHOT_TABLE(table->table)))
+	    !(import->sync->requested_tables & SNAPSHOT_TABLE(table->table)))
 		return;
-	follower = &snapshot_import->sync->followers[table->table];
+	follower = &import->sync->followers[table->table];
 	if (follower->loaded && table->version < follower->version)
 		return;
-	snapshot_import->accepts[table->table] = true;
-	snapshot_import->tables[table->table] = *table;
+	import->accepts[table->table] = true;
+	import->tables[table->table] = *table;
 	g_hash_table_remove_all(follower->seen);
 	g_clear_pointer(&follower->page_key, g_free);
 }
 
 static void import_row(void *context, const struct snapshot_row *row)
 {
-	struct snapshot_import *snapshot_import = context;
+	struct snapshot_import *import = context;
 	const struct registry_row known = {
 		.key = (char *)row->key,
 		.value = (char *)row->value,
 	};
 	struct follower *follower;
 
-	if (row->table >= FOLLOWERS || !snapshot_import->accepts[row->table] ||
+	if (row->table >= FOLLOWERS || !import->accepts[row->table] ||
 	    row->table == REGISTRY_BACKENDS)
 		return;
-	follower = &snapshot_import->sync->followers[row->table];
+	follower = &import->sync->followers[row->table];
 	g_hash_table_add(follower->seen, g_strdup(row->key));
 	follower_keep_row(follower, &known);
-	follower->rule->apply(snapshot_import->sync, &known);
+	follower->rule->apply(import->sync, &known);
 }
 
 static void log_if_leaving(const struct edge *edge,
@@ -183,15 +182,14 @@
 
 static void import_backend(void *context, const struct beat_row *backend)
 {
-	struct snapshot_import *snapshot_import = context;
-	struct follower *follower =
-		&snapshot_import->sync->followers[REGISTRY_BACKENDS];
+	struct snapshot_import *import = context;
+	struct follower *follower = &import->sync->followers[REGISTRY_BACKENDS];
 
-	if (!snapshot_import->accepts[REGISTRY_BACKENDS])
+	if (!import->accepts[REGISTRY_BACKENDS])
 		return;
 	g_hash_table_add(follower->seen, g_strdup(backend->id));
-	log_if_leaving(snapshot_import->sync->edge, backend);
-	backend_row_receive(snapshot_import->sync->edge, backend);
+	log_if_leaving(import->sync->edge, backend);
+	backend_row_receive(import->sync->edge, backend);
 }
 
 /*
@@ -201,11 +199,10 @@
  */
 static void import_expired(void *context, const char *id)
 {
-	struct snapshot_import *snapshot_import = context;
-	struct follower *follower =
-		&snapshot_import->sync->followers[REGISTRY_BACKENDS];
+	struct snapshot_import *import = context;
+	struct follower *follower = &import->sync->followers[REGISTRY_BACKENDS];
 
-	if (snapshot_import->accepts[REGISTRY_BACKENDS])
+	if (import->accepts[REGISTRY_BACKENDS])
 		g_hash_table_add(follower->seen, g_strdup(id));
 }
 
@@ -214,12 +211,12 @@
  * Counted from the time of the request, which is earlier, so the age is never
  * too low.
  */
-static void finish_table(struct snapshot_import *snapshot_import,
+static void finish_table(struct snapshot_import *import,
 			 struct follower *follower)
 {
-	struct sync *sync = snapshot_import->sync;
+	struct sync *sync = import->sync;
 	const struct snapshot_table *table =
-		&snapshot_import->tables[follower->rule->table];
+		&import->tables[follower->rule->table];
 	uint64_t age_us = table->age_ms * US_PER_MS;
 
 	follower->superseded = lane_is_busy(&follower->lane);
@@ -241,16 +238,16 @@
 
 static bool import_snapshot(struct sync *sync, const struct message *answer)
 {
-	struct snapshot_import snapshot_import = { .sync = sync };
+	struct snapshot_import import = { .sync = sync };
 	uint32_t i;
 
 	if (!answer || answer->status != 200 ||
 	    !snapshot_read(answer->body->data, answer->body->len,
-			   &import_visitor, &snapshot_import))
+			   &import_visitor, &import))
 		return false;
 	for (i = 0; i < FOLLOWERS; i++)
-		if (snapshot_import.accepts[i])
-			finish_table(&snapshot_import, &sync->followers[i]);
+		if (import.accepts[i])
+			finish_table(&import, &sync->followers[i]);
 	return true;
 }
 
--- a/packages/edge/sync_tables.c
+++ b/packages/edge/sync_tables.c
@@ -88,7 +88,7 @@
 void prune_config(struct sync *sync, GHashTable *seen)
 {
 	const struct registry *registry = sync->edge->registry;
-	GHashTable *standing =
+	GHashTable *still_evacuated =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	GList *domains = g_hash_table_get_keys(sync->edge->backends->evacuated);
 	GHashTableIter iter;
@@ -101,17 +101,17 @@
 
 		if (registry->vtable->config_row(registry, key, &domain) ==
 		    CONFIG_ROW_EVACUATION)
-			g_hash_table_add(standing, domain);
+			g_hash_table_add(still_evacuated, domain);
 	}
 	for (at = domains; at; at = at->next) {
 		char *domain = g_strdup(at->data);
 
-		if (!g_hash_table_contains(standing, domain))
+		if (!g_hash_table_contains(still_evacuated, domain))
 			set_evacuation(sync, domain, false);
 		g_free(domain);
 	}
 	g_list_free(domains);
-	g_hash_table_destroy(standing);
+	g_hash_table_destroy(still_evacuated);
 }
 
 /* --- backend servers ---------------------------------------------------- */
--- a/tests/edge/confirmation_test.cc
+++ b/tests/edge/confirmation_test.cc
@@ -1,12 +1,12 @@
 /*
- * What a node takes for confirmed, and what it denies by it. A caller of a
- * route that the operator had added got a final 404 though the store had
- * acknowledged the route for longer than it may take to be in force everywhere.
- * The order: something that tells nothing of the newest routes (the end of an
- * older document, a lost history, another table's answer, a neighbour that
- * can't read them) counted as the platform's word that the node's old ones
- * hold. The cause: a confirmation was dated by when it came, not by when the
- * platform gave it.
+ * When routes count as confirmed, and which requests are denied by them.
+ *
+ * Guards against a final 404 for a route that was added, sent after the time
+ * within which the route must be in force everywhere. It comes about when
+ * something that holds no information on the newest routes (the end of an older
+ * document, a lost history, another table's answer, a peer that can't decode
+ * them) counts as the platform's confirmation of the old ones, or when a
+ * confirmation is dated by its arrival and not by when the platform sent it.
  */
 #include "edge/large_document.h"
 
@@ -18,16 +18,16 @@
 };
 
 /*
- * A node that isn't sure of its routes: what it doesn't find may be there. A
- * 404 is final, so it says when to come back instead.
+ * A 404 is final, so a node with unconfirmed routes answers 503 with
+ * Retry-After for a route that it doesn't have.
  */
 struct denial_case {
 	const char *name;
-	bool differs; /* a neighbour that asked later knows other routes */
-	bool cut_off; /* no word for longer than a change may take */
+	bool differs; /* the reader's digest of the routes differs */
+	bool cut_off; /* unconfirmed for longer than the deadline */
 	int unknown; /* status for a route that isn't in the table */
-	int known; /* and for one that is */
-	int large; /* and for a body over the operator's limit */
+	int known; /* status for a route in the table */
+	int large; /* status for a body over the operator's limit */
 };
 
 const denial_case denial_cases[] = {
@@ -48,16 +48,16 @@
 	add_app("i-1");
 	start_node();
 	add_reader();
-	vouch(0);
+	receive_reader_digests(0);
 	turn_for(300);
-	vouch(0);
+	receive_reader_digests(0);
 	if (c.cut_off) {
-		silence();
+		make_unreachable();
 		turn_for(settings.config_within_us / 1000 + 300);
 	}
 	if (c.differs) {
-		silence();
-		vouch(1);
+		make_unreachable();
+		receive_reader_digests(1);
 	}
 	std::string answer = answer_to(get("u1", "/added-later/"));
 	EXPECT_EQ(c.unknown, status_of(answer));
@@ -73,7 +73,7 @@
 			 ::testing::ValuesIn(denial_cases),
 			 [](const auto &info) { return info.param.name; });
 
-/* There is a newer version, and nobody here knows what it says. */
+/* A newer version exists, and its contents are unknown. */
 TEST_F(ConfirmationTest, UnreadableDocumentDeniesNothing)
 {
 	add_app("i-1");
@@ -87,10 +87,10 @@
 	EXPECT_EQ(404, status_at("/added-later/"));
 }
 
-/* Before the first routes are known the limits are a guess, too. */
+/* Without routes the limits are unknown, too. */
 TEST_F(ConfirmationTest, NodeWithoutRoutesDeniesNothing)
 {
-	silence();
+	make_unreachable();
 	start_node(false);
 	EXPECT_EQ(503, status_at("/r/"));
 	EXPECT_EQ(503, status_of(answer_to(get("u2", "/r/",
@@ -99,9 +99,9 @@
 }
 
 /*
- * A document takes 2.4 s to arrive; a newer one is acknowledged meanwhile. The
- * node takes the old one for confirmed as of its last byte, not of its first,
- * and denies the newer one's routes for 2.4 s longer than it may.
+ * A document takes 2.4 s to arrive, and a newer one is acknowledged meanwhile.
+ * If the old one were confirmed as of its last byte, not of its first, the
+ * newer one's routes would be denied for 2.4 s too long.
  */
 TEST_F(ConfirmationTest, DocumentIsConfirmedAsOfItsFirstByte)
 {
@@ -116,18 +116,18 @@
 	start_beside_reader();
 	narrow_link();
 	put_large(2);
-	vouch(1);
+	receive_reader_digests(1);
 	turn_for(200);
-	put_large(3, late); /* acknowledged here */
+	put_large(3, late); /* acknowledged by the store here */
 	put_us = edge_now_us(edge);
 	while (edge->routes->version < 2) {
-		reader_lives();
+		receive_reader_heartbeat();
 		turn_for(50);
 	}
 	ASSERT_EQ(2u, edge->routes->version);
 	while (edge_now_us(edge) - put_us <
 	       settings.config_within_us + 100000) {
-		reader_lives();
+		receive_reader_heartbeat();
 		turn_for(50);
 	}
 	EXPECT_NE(404, status_at("/late/"))
@@ -138,10 +138,10 @@
 }
 
 /*
- * Two versions in quick succession. The first one's transfer took so long that
- * the second was due when it ended, and its rows counted as confirmed at that
- * moment: for as long again the node, and each neighbour that it told, denied
- * the routes of the second. They are as old as the answer's sending.
+ * Two versions in quick succession: the first one's transfer takes so long that
+ * the second is due when it ends. If its rows counted as confirmed at that
+ * moment, this node and its peers would deny the second one's routes for as
+ * long again. The rows are as old as the answer's sending.
  */
 TEST_F(ConfirmationTest, RowsAreConfirmedAsOfTheirSendTime)
 {
@@ -163,9 +163,9 @@
 }
 
 /*
- * A node that was cut off for long is told that the history it follows is gone.
- * That tells nothing of the rows, yet counted as their confirmation: until the
- * whole table begins to arrive the node denies out of its old one.
+ * After a long partition the store answers that the history is lost. That is no
+ * confirmation of the rows: until the full read begins to arrive, the node must
+ * not deny requests by its old table.
  */
 TEST_F(ConfirmationTest, LostHistoryConfirmsNothing)
 {
@@ -196,32 +196,32 @@
 }
 
 /*
- * The region's reader can't read the newest document. It knows that, and goes
- * on to vouch for its old routes; its neighbours, which never see the document,
- * deny what it adds.
+ * The region's reader can't decode the newest document. If it sent a digest of
+ * its old routes, its peers, which never see the document, would deny the
+ * routes that it adds.
  */
 TEST_F(ConfirmationTest, ReaderWithUnreadableRoutesSendsNoRouteDigest)
 {
-	struct beat_vouch vouches[BEAT_MAX_VOUCHES];
+	struct beat_vouch digests[BEAT_MAX_VOUCHES];
 
 	add_app("i-1");
 	start_node();
 	store_stand_put(store, "op", "config", "{\"version\":2,\"routes\":{");
 	wait_for([this] { return status_at("/added-later/") == 503; });
 	turn_for(1500);
-	uint32_t count = sync_fill_digests(sync, vouches);
+	uint32_t count = sync_fill_digests(sync, digests);
 	for (uint32_t i = 0; i < count; i++)
-		EXPECT_FALSE(vouches[i].table == REGISTRY_CONFIG &&
-			     vouches[i].age_ms < 2500)
-			<< "vouches for the routes, " << vouches[i].age_ms
+		EXPECT_FALSE(digests[i].table == REGISTRY_CONFIG &&
+			     digests[i].age_ms < 2500)
+			<< "vouches for the routes, " << digests[i].age_ms
 			<< " ms old";
 }
 
 /*
- * The answer to the held call for the routes is lost with its connection; the
- * calls for backend servers go on. Each of these confirmed the old routes,
- * until the held call's time-out 3.5 s later: a 404 past the time within which
- * the change must be in force, by the reader and by all who have its word.
+ * The answer to the held call for routes is lost with its connection, while
+ * calls for backend servers succeed. If these confirmed the old routes until
+ * the held call's time-out 3.5 s later, the reader and its peers would send a
+ * 404 after the change's deadline.
  */
 TEST_F(ConfirmationTest, OtherTablesAnswersDoNotConfirmRoutes)
 {
@@ -245,10 +245,7 @@
 	}
 }
 
-/*
- * The store told of a newer document a moment ago, and it is arriving. What the
- * one before doesn't have may be in it.
- */
+/* A newer document is arriving, and may have what the present one lacks. */
 TEST_F(ConfirmationTest, NothingIsDeniedWhileNewRoutesArrive)
 {
 	add_app("i-1");
--- a/tests/edge/edge_settings_test.cc
+++ b/tests/edge/edge_settings_test.cc
@@ -1,4 +1,6 @@
-/* Settings of a node: what is good, and how what isn't is told. */
+/*
+ * Settings of an edge node: valid files, and the errors of invalid ones.
+ */
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -65,20 +67,20 @@
 {
 	const struct {
 		std::string text;
-		const char *said;
+		const char *expected;
 	} cases[] = {
 		{ node + listen, "[registry] address is missing" },
 		{ listen + registry, "name is missing" },
 		{ node + listen + registry + "[log]\nlevel = \"loud\"\n",
 		  "error, warning, info or debug" },
 		{ node + listen + registry + "[lookup]\nkeep = \"1\"\n",
-		  "a time above 0" },
+		  "a duration above 0" },
 		{ node + listen + registry + "[lookup]\nkeep = 1\n",
-		  "a text in quotes" },
+		  "a string in quotes" },
 		{ node + listen + registry + "[extra]\nratio = \"x\"\n",
 		  "a number" },
 		{ node + listen + registry + "[extra]\nnodes_least = \"0\"\n",
-		  "a whole number" },
+		  "an integer" },
 		{ node + "link_mbps = \"-1\"\n" + listen + registry,
 		  "a number" },
 		{ node + "first_start = \"yes\"\n" + listen + registry,
@@ -92,7 +94,7 @@
 
 	for (const auto &c : cases) {
 		ASSERT_FALSE(load(c.text)) << c.text;
-		EXPECT_NE(nullptr, strstr(error->message, c.said))
+		EXPECT_NE(nullptr, strstr(error->message, c.expected))
 			<< error->message;
 		EXPECT_EQ(RESULT_SETTINGS_INVALID, error->code);
 	}
@@ -101,7 +103,7 @@
 	EXPECT_EQ(RESULT_SETTINGS_UNREADABLE, error->code);
 }
 
-/* Each key of the code stands in the page, and the other way round. */
+/* The example in docs/SETTINGS.md loads. */
 TEST_F(EdgeSettingsTest, DocumentedExampleIsValid)
 {
 	FILE *page = fopen(SOURCE_DIR "/docs/SETTINGS.md", "r");
--- a/tests/edge/large_document.h
+++ b/tests/edge/large_document.h
@@ -1,24 +1,27 @@
 /*
- * large_document - a node whose document of routes takes seconds to arrive
+ * large_document - fixture for a document of routes that takes seconds to
+ * arrive
  *
- * The store stands behind a narrow link, and a neighbour reads the tables for
- * the region where a test asks for one.
+ * The store is behind a narrow link; a test may add a peer that is the region's
+ * reader.
  */
 #ifndef TESTS_LARGE_DOCUMENT_H
 #define TESTS_LARGE_DOCUMENT_H
 
 #include "edge/edge_world.h"
 
-/* Routes that are added; about 230 bytes each on the wire. */
+/* Added routes, about 230 bytes each on the wire. */
 inline const int added_routes = 1400;
 
-/* The document's transfer takes this long; a silent call ends after 1 s. */
+/*
+ * Duration of the document's transfer; a call without any bytes ends after 1 s.
+ */
 inline const uint64_t transfer_ms = 2500;
 
 class LargeDocumentTest : public EdgeWorld
 {
       protected:
-	/* A link on which the large document takes transfer_ms. */
+	/* Sets a link on which the large document takes transfer_ms. */
 	void narrow_link()
 	{
 		struct store_faults faults = {};
@@ -26,7 +29,7 @@
 		faults.bytes_per_s = document_bytes() * 1000 / transfer_ms;
 		store_stand_set_faults(store, &faults);
 	}
-	void silence()
+	void make_unreachable()
 	{
 		struct store_faults faults = {};
 
@@ -34,7 +37,7 @@
 		faults.silent = true;
 		store_stand_set_faults(store, &faults);
 	}
-	/* In base64, as the store writes it. */
+	/* Size in base64, as the store writes it. */
 	static uint64_t document_bytes()
 	{
 		return routes_text().size() * 4 / 3;
@@ -48,48 +51,55 @@
 		extra_routes = routes_text() + more;
 		put_routes(version);
 	}
-	/* A node that has its routes by a neighbour's word. */
+	/* Starts a node whose routes a reader's digest confirms. */
 	void start_beside_reader()
 	{
 		add_app("i-1");
 		start_node();
 		add_reader();
-		vouch(0);
+		receive_reader_digests(0);
 		turn_for(1000);
 	}
 	/*
-	 * The reader's beat; its routes differ by so much from this node's, and
-	 * its backend servers and members by that.
+	 * Delivers the reader's heartbeat. Its digest of the routes differs by
+	 * this much from the node's, those of the other tables by
+	 * others_differ.
 	 */
-	void vouch(uint64_t differs, uint64_t others_differ = 0)
+	void receive_reader_digests(uint64_t differs,
+				    uint64_t others_differ = 0)
 	{
-		struct beat_vouch vouches[BEAT_MAX_VOUCHES];
-		uint32_t count = sync_fill_digests(sync, vouches);
+		struct beat_vouch digests[BEAT_MAX_VOUCHES];
+		uint32_t count = sync_fill_digests(sync, digests);
 
-		reader_lives();
+		receive_reader_heartbeat();
 		for (uint32_t i = 0; i < count; i++) {
-			vouches[i].age_ms = 0;
-			vouches[i].digest += vouches[i].table ==
+			digests[i].age_ms = 0;
+			digests[i].digest += digests[i].table ==
 							     REGISTRY_CONFIG ?
 						     differs :
 						     others_differ;
-			sync_receive_digest(sync, &vouches[i]);
+			sync_receive_digest(sync, &digests[i]);
 		}
 	}
-	/* The reader beats, and vouches for nothing. */
-	void reader_lives()
+	/* Delivers the reader's heartbeat without digests. */
+	void receive_reader_heartbeat()
 	{
 		member_heard(member_table_find(edge->members, "reader"),
-			     ++beats, false, edge_now_us(edge));
+			     ++heartbeats, false, edge_now_us(edge));
 	}
-	/* The reader goes on to beat while this node's call is out. */
-	void vouch_until(const std::function<bool()> &condition, uint64_t ms,
-			 uint64_t others_differ = 0)
+	/*
+	 * Delivers the reader's heartbeats while the node's call is in
+	 * progress.
+	 */
+	void
+	receive_reader_digests_until(const std::function<bool()> &condition,
+				     uint64_t ms, uint64_t others_differ = 0)
 	{
 		uint64_t end_us = edge_now_us(edge) + ms * 1000;
 
 		while (!condition() && edge_now_us(edge) < end_us) {
-			vouch(edge->routes->version < 2, others_differ);
+			receive_reader_digests(edge->routes->version < 2,
+					       others_differ);
 			turn_for(100);
 		}
 	}
@@ -102,7 +112,7 @@
 		return status_of(
 			answer_to(get("a" + std::to_string(++requests), path)));
 	}
-	uint64_t beats = 0;
+	uint64_t heartbeats = 0;
 	int requests = 0;
 };
 
--- a/tests/edge/large_document_test.cc
+++ b/tests/edge/large_document_test.cc
@@ -1,20 +1,14 @@
 /*
- * The operator's document of routes grew until its transfer took longer than
- * the time-out of the whole call. Callers of routes that were added later got a
- * final 404 from every node that was far from the store or had a narrow link,
- * minutes after the operator's write was acknowledged.
+ * Guards against a document of routes that never arrives because its transfer
+ * takes longer than a time-out on the whole call. Nodes far from the store or
+ * with a narrow link then abort after a second and start again from the first
+ * byte; their links stay full of the same bytes, and callers of added routes
+ * get a final 404 minutes after the operator's write was acknowledged. A
+ * reader, whose held call has a longer time-out, has the document and sends its
+ * digest.
  *
- * The order: the store acknowledges a version; a reader of the region, whose
- * call was held and so had a longer time-out, has it in force and says so in
- * its beats; its neighbours ask the store, receive for a second, give up, and
- * ask again from the first byte. Their links are full of the same bytes from
- * then on, and what they know stays as it was.
- *
- * The cause: a limit on the whole call where silence was meant, with a retry
- * that loses what had arrived; and a 404 out of a table that the node knew to
- * be old. What proved it: the nodes that failed received at their links' full
- * rate, made no progress, and had lost no other table; two nodes with the same
- * link and distance, whose calls had the longer time-out, succeeded.
+ * So the time-out limits the time without any bytes, what has arrived isn't
+ * discarded, and a node denies nothing by a table that it knows to be old.
  */
 #include "edge/large_document.h"
 
@@ -26,13 +20,13 @@
 	start_beside_reader();
 	narrow_link();
 	put_large(2);
-	vouch_until([this] { return edge->routes->version == 2; },
-		    4 * transfer_ms);
+	receive_reader_digests_until(
+		[this] { return edge->routes->version == 2; }, 4 * transfer_ms);
 	EXPECT_EQ(2u, edge->routes->version);
 	EXPECT_EQ(200, status_at("/n7/"));
 }
 
-/* A node that starts never became ready: it can't read the table at all. */
+/* A starting node that can't read the table never becomes ready. */
 TEST_F(LargeDocumentTest, StartingNodeBecomesReady)
 {
 	add_app("i-1");
@@ -46,33 +40,34 @@
 }
 
 /*
- * The same full link holds up the short calls for backend servers. Their
- * time-outs ended the document's call, too, as one on a silent path.
+ * The full link also delays the short calls for backend servers. Their
+ * time-outs must not end the document's transfer as one on a broken path.
  */
 TEST_F(LargeDocumentTest, TransferSurvivesTimeoutsOfOtherCalls)
 {
 	start_beside_reader();
 	narrow_link();
 	put_large(2);
-	vouch(1);
+	receive_reader_digests(1);
 	turn_for(200);
-	silence();
-	vouch_until([this] { return edge->routes->version == 2; },
-		    2 * transfer_ms, 1);
+	make_unreachable();
+	receive_reader_digests_until(
+		[this] { return edge->routes->version == 2; }, 2 * transfer_ms,
+		1);
 	EXPECT_GT(metric_value(edge->stats.registry_failures), 0u);
 	EXPECT_EQ(2u, edge->routes->version);
 }
 
-/* A path that falls silent in the middle of it is given up soon. */
+/* A path that fails during the transfer is detected soon. */
 TEST_F(LargeDocumentTest, UnreachableStoreIsDetectedDuringATransfer)
 {
 	start_beside_reader();
 	struct store_faults faults = {};
-	faults.bytes_per_s = 1; /* a piece of no bytes: nothing comes */
+	faults.bytes_per_s = 1; /* pieces of no bytes: nothing arrives */
 	store_stand_set_faults(store, &faults);
 	put_large(2);
 	uint64_t before = metric_value(edge->stats.registry_failures);
-	vouch_until(
+	receive_reader_digests_until(
 		[&] {
 			return metric_value(edge->stats.registry_failures) >
 			       before;
@@ -81,17 +76,18 @@
 	EXPECT_GT(metric_value(edge->stats.registry_failures), before);
 	faults.bytes_per_s = 0;
 	store_stand_set_faults(store, &faults);
-	vouch_until([this] { return edge->routes->version == 2; }, 3000);
+	receive_reader_digests_until(
+		[this] { return edge->routes->version == 2; }, 3000);
 	EXPECT_EQ(2u, edge->routes->version);
 }
 
 /*
- * While the document arrives at a reader, its held call counted as one with
- * nothing to tell: the reader confirmed its old routes to all neighbours.
+ * While the document arrives at a reader, its held call must not count as one
+ * without changes: the reader would confirm its old routes to all peers.
  */
 TEST_F(LargeDocumentTest, ReaderDoesNotConfirmRoutesBeingReplaced)
 {
-	struct beat_vouch vouches[BEAT_MAX_VOUCHES];
+	struct beat_vouch digests[BEAT_MAX_VOUCHES];
 	uint64_t put_us;
 
 	add_app("i-1");
@@ -102,12 +98,12 @@
 	put_us = edge_now_us(edge);
 	while (edge->routes->version < 2 &&
 	       edge_now_us(edge) - put_us < 2 * transfer_ms * 1000) {
-		uint32_t count = sync_fill_digests(sync, vouches);
+		uint32_t count = sync_fill_digests(sync, digests);
 
 		for (uint32_t i = 0; i < count; i++) {
-			if (vouches[i].table != REGISTRY_CONFIG)
+			if (digests[i].table != REGISTRY_CONFIG)
 				continue;
-			ASSERT_GE(vouches[i].age_ms + 150,
+			ASSERT_GE(digests[i].age_ms + 150,
 				  (edge_now_us(edge) - put_us) / 1000);
 		}
 		turn_for(50);
@@ -116,10 +112,9 @@
 }
 
 /*
- * The process stands still for 1.2 s, less than counts as a suspension, as it
- * does while it decodes a large document on a tenth of a core. Timers run
- * before reads: the answer is given up although its next bytes lie in the
- * socket.
+ * The process stalls for 1.2 s, less than counts as a suspension, as while it
+ * decodes a large document on a tenth of a core. Timers run before reads, so
+ * the answer would be given up with its next bytes already in the socket.
  */
 TEST_F(LargeDocumentTest, ProcessStallIsNotATimeout)
 {
@@ -128,7 +123,7 @@
 	start_beside_reader();
 	narrow_link();
 	put_large(2);
-	vouch(1);
+	receive_reader_digests(1);
 	turn_for(600);
 	before = failures();
 	usleep(1200000);
@@ -136,16 +131,16 @@
 	EXPECT_EQ(before, failures());
 }
 
-/* Suspended each 2 s, a node never gets a document that takes 2.5 s. */
+/* Suspended every 2 s, a node must still get a document that takes 2.5 s. */
 TEST_F(LargeDocumentTest, SuspensionsDoNotInterruptATransfer)
 {
 	start_beside_reader();
 	narrow_link();
 	put_large(2);
-	vouch(1);
+	receive_reader_digests(1);
 	for (int i = 0; i < 5 && edge->routes->version < 2; i++) {
 		turn_for(2000);
-		reader_lives();
+		receive_reader_heartbeat();
 		sync_refresh(sync);
 	}
 	EXPECT_EQ(2u, edge->routes->version);
--- a/tests/edge/sync_peers_test.cc
+++ b/tests/edge/sync_peers_test.cc
@@ -1,4 +1,6 @@
-/* What a node has from a neighbour, and what it still asks the store. */
+/*
+ * Which tables a node gets from peers, and which from the store.
+ */
 #include "edge/backend_row.h"
 #include "edge/edge_world.h"
 #include "edge/snapshot.h"
@@ -6,7 +8,7 @@
 namespace
 {
 
-/* A second node, n2, beside the world's own, which the store names to it. */
+/* A second node, n2, beside the fixture's own, n1, which is its peer. */
 class SyncPeersTest : public EdgeWorld
 {
       protected:
@@ -31,18 +33,20 @@
 
 		store_stand_put(store, "members", name, text.c_str());
 	}
-	/* The world's node is one of three that read first; n2 isn't. */
-	void start_first(bool others_live = true)
+	/* The fixture's node is one of the three first readers; n2 isn't. */
+	void start_first(bool others_reachable = true)
 	{
 		start_node();
-		/* Written later, its own row would replace this one. */
+		/* If written later, n1's own row would replace this one. */
 		wait_for([this] {
 			return store_stand_get(store, "members", "n1") !=
 			       nullptr;
 		});
 		put_member("n1", at(peers), 200);
-		put_member("n3", others_live ? at(peers) : dead, 100);
-		put_member("n4", others_live ? at(peers) : dead, 100);
+		put_member("n3", others_reachable ? at(peers) : unreachable,
+			   100);
+		put_member("n4", others_reachable ? at(peers) : unreachable,
+			   100);
 	}
 	void start_second()
 	{
@@ -62,19 +66,21 @@
 		put_member("n2", endpoint_at(2), 10);
 		start_second();
 	}
-	/* The first node, the reader, beats to the second. */
-	void vouch_to_second()
+	/* Delivers the first node's heartbeat, as the reader, to the second. */
+	void send_digests_to_second()
 	{
-		struct beat_vouch vouches[BEAT_MAX_VOUCHES];
-		uint32_t count = sync_fill_digests(sync, vouches);
+		struct beat_vouch digests[BEAT_MAX_VOUCHES];
+		uint32_t count = sync_fill_digests(sync, digests);
 
-		member_heard(member_table_find(second.members, "n1"), ++beat,
-			     false, edge_now_us(&second));
+		member_heard(member_table_find(second.members, "n1"),
+			     ++heartbeat, false, edge_now_us(&second));
 		for (uint32_t i = 0; i < count; i++)
-			sync_receive_digest(second_sync, &vouches[i]);
+			sync_receive_digest(second_sync, &digests[i]);
 	}
-	/* A beat tells the second node that the server leaves, or has left. */
-	void tell_second_draining(const char *id)
+	/*
+	 * The second node receives an update: the server drains, or has left.
+	 */
+	void second_receives_draining(const char *id)
 	{
 		struct beat_row row;
 
@@ -84,7 +90,7 @@
 		row.version = store_stand_version(store);
 		backend_row_receive(&second, &row);
 	}
-	void tell_second_left(const char *id)
+	void second_receives_left(const char *id)
 	{
 		struct beat_row row = {};
 
@@ -92,7 +98,9 @@
 		row.version = store_stand_version(store);
 		backend_row_receive(&second, &row);
 	}
-	/* Other servers' rows change so often; the store holds each change. */
+	/*
+	 * Changes other servers' rows; the store's history holds each change.
+	 */
 	void change_others(int times)
 	{
 		for (int i = 0; i < times; i++)
@@ -105,15 +113,16 @@
 				 std::to_string(4 + i % 7) + "}")
 					.c_str());
 	}
-	/* Rows of a server that is there, and enough others to end an answer.
-	 */
-	void put_older_rows(const App &app)
+	/* Rows of a ready server, and enough others to fill an answer. */
+	void put_many_older_rows(const App &app)
 	{
 		list_app(app, "ready", "2000ms");
 		list_app(app, "ready");
 		change_others(600);
 	}
-	/* The second node's word grows old, and it asks the store itself. */
+	/*
+	 * The second node's confirmation expires, and it asks the store itself.
+	 */
 	void wait_for_own_read()
 	{
 		uint64_t old = reads(READ_WORD_OLD);
@@ -135,13 +144,13 @@
 
 		return backend && backend->draining;
 	}
-	/* Bytes of the store's answers to both, also of those given up. */
+	/* Bytes of the store's answers to both nodes, also of aborted ones. */
 	uint64_t store_bytes() const
 	{
 		return metric_value(edge->stats.registry_bytes) +
 		       metric_value(edge->stats.registry_lost_bytes);
 	}
-	/* Both nodes' calls: counters are the process's. */
+	/* Calls of both nodes: the process has one set of counters. */
 	uint64_t reads(enum read_cause cause) const
 	{
 		return metric_value(edge->stats.registry_reads[cause]);
@@ -153,14 +162,15 @@
 	struct edge second = {};
 	struct edge_settings second_settings = {};
 	struct sync *second_sync = nullptr;
-	struct endpoint dead = endpoint_at(1); /* nobody listens there */
-	uint64_t beat = 0;
+	struct endpoint unreachable = endpoint_at(1); /* nothing listens there
+						       */
+	uint64_t heartbeat = 0;
 };
 
 /*
- * A third of 295 nodes is restarted. Each read three tables of 1,209 servers
- * and wrote the row that it had written in its life before: six calls to the
- * store. All but the list of nodes is known next door.
+ * When a third of 295 nodes restarts, each reading three tables of 1,209
+ * servers and writing a row that is there already, the store gets six calls per
+ * node. All but the members' table can be had from a peer.
  */
 TEST_F(SyncPeersTest, RestartMakesOneCallToTheStore)
 {
@@ -181,7 +191,7 @@
 	EXPECT_LT(sync_routes_age_us(second_sync), 2500000u);
 }
 
-/* A node that is new to the table writes its row, and only then. */
+/* A node that the table doesn't list writes its row, once. */
 TEST_F(SyncPeersTest, NewNodeWritesItsRowOnce)
 {
 	start_first();
@@ -195,7 +205,7 @@
 	EXPECT_EQ(1u, writes() - written);
 }
 
-/* The ones that read first are lost: the node reads for itself in a moment. */
+/* The first readers are lost: the node soon reads from the store itself. */
 TEST_F(SyncPeersTest, StartDoesNotWaitForLostPeers)
 {
 	add_app("i-1");
@@ -207,16 +217,16 @@
 }
 
 /*
- * The operator changes the routes, and a server begins to drain without the
- * nodes being told. Each of a region's hundred nodes asked the store for what
- * its reader had just read.
+ * Routes change and a server begins to drain without an update between nodes.
+ * Unless they ask the reader, all of a region's hundred nodes ask the store for
+ * what the reader has just read.
  */
 TEST_F(SyncPeersTest, MismatchesAreFetchedFromTheReader)
 {
 	App &app = add_app("i-1");
 
 	start_both();
-	vouch_to_second();
+	send_digests_to_second();
 	turn_for(1000);
 	uint64_t differing = reads(READ_WORD_DIFFERS);
 	uint64_t old = reads(READ_WORD_OLD);
@@ -226,21 +236,21 @@
 		return edge->routes->version == 9 &&
 		       backend_table_find(edge->backends, "i-1")->draining;
 	});
-	vouch_to_second();
+	send_digests_to_second();
 	wait_for([this] {
 		return second.routes->version == 9 &&
 		       backend_table_find(second.backends, "i-1")->draining;
 	});
 	EXPECT_EQ(differing, reads(READ_WORD_DIFFERS));
 	EXPECT_EQ(old, reads(READ_WORD_OLD));
-	vouch_to_second();
+	send_digests_to_second();
 	EXPECT_TRUE(sync_may_deny(second_sync));
 }
 
 /*
  * Routes and servers change together, and the list of servers doesn't fit the
- * reader's link. Asked for in one, neither came, and each node of the region
- * asked the store for a few bytes of routes.
+ * reader's link. Requested in one, neither arrives, and each node of the region
+ * asks the store for a few bytes of routes.
  */
 TEST_F(SyncPeersTest, RoutesAreFetchedBeforeALargeBackendList)
 {
@@ -253,7 +263,7 @@
 			"{\"service\":\"t\",\"addr\":\"127.0.0.9:1\","
 			"\"zone\":\"d1\",\"slots\":4,\"state\":\"ready\"}");
 	start_both();
-	vouch_to_second();
+	send_digests_to_second();
 	turn_for(1000);
 	edge->settings.link_mbps = 1;
 	uint64_t differing = reads(READ_WORD_DIFFERS);
@@ -263,32 +273,32 @@
 		return edge->routes->version == 9 &&
 		       backend_table_find(edge->backends, "i-1")->draining;
 	});
-	vouch_to_second();
+	send_digests_to_second();
 	wait_for([this] { return second.routes->version == 9; });
 	EXPECT_EQ(differing, reads(READ_WORD_DIFFERS));
 }
 
 /*
- * The reader doesn't answer, though its beats come: its link is full. The store
- * is asked, as soon as for a reader that can't be asked at all.
+ * The reader sends heartbeats but no snapshots, since its link is full: the
+ * store is asked as soon as if no peer could be asked.
  */
 TEST_F(SyncPeersTest, UnresponsiveReaderIsReplacedByTheStore)
 {
 	start_both();
-	vouch_to_second();
+	send_digests_to_second();
 	turn_for(1000);
 	edge->settings.link_mbps = 0.00001; /* no answer fits */
 	put_routes(9);
 	wait_for([this] { return edge->routes->version == 9; });
-	vouch_to_second();
+	send_digests_to_second();
 	uint64_t began = uv_hrtime();
 	wait_for([this] { return second.routes->version == 9; });
 	EXPECT_LT((uv_hrtime() - began) / 1000000, 600u);
 }
 
 /*
- * The neighbour that is asked is the one that is behind: it was cut off from
- * the store. Its table would bring back a server that has left.
+ * The peer that is asked is the one behind: it was partitioned from the store.
+ * Its table would restore a server that has left.
  */
 TEST_F(SyncPeersTest, OlderTableOfAPeerIsIgnored)
 {
@@ -303,29 +313,29 @@
 	store_stand_set_faults(store, &faults);
 	turn_for(100);
 	store_stand_put(store, "servers", "i-2", nullptr);
-	/* Only the second one reaches the store from here on. */
-	sync_redirect(sync, &dead);
+	/* From here on only the second node reaches the store. */
+	sync_redirect(sync, &unreachable);
 	faults.silent = false;
 	store_stand_set_faults(store, &faults);
 	wait_for(
 		[this] { return !backend_table_find(second.backends, "i-2"); });
 	ASSERT_EQ(before, backend_table_digest(edge->backends));
 	for (int i = 0; i < 10; i++) {
-		vouch_to_second();
+		send_digests_to_second();
 		turn_for(100);
 		EXPECT_EQ(nullptr, backend_table_find(second.backends, "i-2"));
 	}
 }
 
 /*
- * The node that reads for its region starts. While it isn't ready others may
- * be the readers, so it waited for their word of the routes; ready, it went on
- * waiting, and the word that it gave to all of its region grew old.
+ * A node that isn't ready waits for another reader's digest of the routes. When
+ * it becomes ready and so the reader, it must read at once: if it went on
+ * waiting, the confirmation that it gives to its region would expire.
  */
 TEST_F(SyncPeersTest, ReaderReadsAtOnceWhenReady)
 {
 	add_app("i-1");
-	put_member("n3", dead, 1);
+	put_member("n3", unreachable, 1);
 	start_node();
 	ASSERT_EQ(2u, member_table_count(edge->members));
 	edge->members->self->leaving = true;
@@ -338,10 +348,9 @@
 }
 
 /*
- * The reader was cut off while a server left. Back in touch it keeps the
- * missing entry for a moment, for it may have lapsed with the store. A
- * neighbour that had known for long that the server was gone took it from the
- * reader's table as one that is there, and sent requests to it.
+ * A server leaves while the reader is partitioned. Afterwards the reader keeps
+ * the missing entry for its expiry grace. A peer that has removed the server
+ * already must not add it from the reader's table and send requests to it.
  */
 TEST_F(SyncPeersTest, ExpiredEntryIsNotAddedByAPeer)
 {
@@ -351,10 +360,11 @@
 	turn_for(300);
 	store_stand_put(store, "servers", "i-3", nullptr);
 	wait_for([this] { return !backend_table_find(edge->backends, "i-3"); });
-	vouch_to_second();
+	send_digests_to_second();
 	wait_for(
 		[this] { return !backend_table_find(second.backends, "i-3"); });
-	/* As after the cut: the reader keeps it, and vouches for what it has.
+	/*
+	 * As after the partition: the reader keeps the entry and sends digests.
 	 */
 	struct backend_facts facts = {};
 	facts.id = "i-3";
@@ -366,14 +376,14 @@
 	backend_table_remove(edge->backends, "i-3", 0,
 			     edge_now_us(edge) + 2000000, edge_now_us(edge));
 	for (int i = 0; i < 12; i++) {
-		vouch_to_second();
+		send_digests_to_second();
 		turn_for(100);
 		EXPECT_EQ(nullptr, backend_table_find(second.backends, "i-3"));
 	}
 	EXPECT_NE(nullptr, backend_table_find(edge->backends, "i-3"));
 }
 
-/* A node that knows the server keeps it for as long as the reader does. */
+/* A node that has the server keeps it for as long as the reader does. */
 TEST_F(SyncPeersTest, ExpiredEntryIsKeptWhereItIsKnown)
 {
 	for (int i = 0; i < 10; i++)
@@ -384,7 +394,7 @@
 			     edge_now_us(edge) + 2000000, edge_now_us(edge));
 	list_app(apps[5], "draining");
 	wait_for([this] {
-		vouch_to_second();
+		send_digests_to_second();
 		turn_for(50);
 		return backend_table_find(second.backends, "i-5")->draining;
 	});
@@ -392,9 +402,8 @@
 }
 
 /*
- * A neighbour's word is as old as the platform's confirmation to it. Dated by
- * when it was heard, routes that had been replaced were denied by for longer
- * than they may.
+ * A peer's table is as old as the platform's confirmation to that peer. Dated
+ * by its arrival, replaced routes would be used to deny requests for too long.
  */
 TEST_F(SyncPeersTest, SnapshotKeepsItsConfirmationTime)
 {
@@ -402,38 +411,38 @@
 	start_first();
 	put_member("n2", endpoint_at(2), 10);
 	turn_for(300);
-	sync_redirect(sync, &dead);
+	sync_redirect(sync, &unreachable);
 	turn_for(1200);
 	start_second();
 	EXPECT_GE(sync_routes_age_us(second_sync), 1200000u);
 }
 
-/* A server that leaves is taken for one that is there, by its older row. */
+/* An older row would turn a draining server into a ready one. */
 TEST_F(SyncPeersTest, OlderRowDoesNotReplaceANewerUpdate)
 {
 	App &app = add_app("i-1");
 
 	start_both();
-	put_older_rows(app);
+	put_many_older_rows(app);
 	list_app(app, "draining");
-	tell_second_draining("i-1");
+	second_receives_draining("i-1");
 	expect_through_own_read([this] { return drains(second, "i-1"); });
 }
 
-/* The same with one that has left, and is in the table no more. */
+/* The same with a server that has left and is no longer in the table. */
 TEST_F(SyncPeersTest, OlderRowDoesNotRestoreARemovedServer)
 {
 	App &app = add_app("i-1");
 
 	start_both();
-	put_older_rows(app);
+	put_many_older_rows(app);
 	store_stand_put(store, "servers", "i-1", nullptr);
-	tell_second_left("i-1");
+	second_receives_left("i-1");
 	expect_through_own_read(
 		[this] { return !backend_table_find(second.backends, "i-1"); });
 }
 
-/* A node asks for the next changes as late as if it knew them all. */
+/* Otherwise the node fetches the rest as late as if it had all changes. */
 TEST_F(SyncPeersTest, PartialChangesDoNotConfirmTheTable)
 {
 	App &app = add_app("i-1");
@@ -447,7 +456,9 @@
 	EXPECT_LT((uv_hrtime() - began) / 1000000, 500u);
 }
 
-/* Routes change before each question is answered; servers are never asked for.
+/*
+ * Routes change before each request is answered; servers must still get their
+ * turn.
  */
 TEST_F(SyncPeersTest, FrequentRouteChangesDoNotDelayBackends)
 {
@@ -457,19 +468,21 @@
 	turn_for(1000);
 	list_app(app, "draining");
 	while (!drains(*edge, "i-1")) {
-		vouch_to_second();
+		send_digests_to_second();
 		turn_for(20);
 	}
 	for (unsigned i = 0; i < 6 && !drains(second, "i-1"); i++) {
 		put_routes(100 + i);
 		wait_for([&] { return edge->routes->version == 100 + i; });
-		vouch_to_second();
+		send_digests_to_second();
 		turn_for(100);
 	}
 	EXPECT_TRUE(drains(second, "i-1"));
 }
 
-/* Changes that the node knows come again, page after page, before the newest.
+/*
+ * Otherwise changes that the node has come again, page by page, before the
+ * newest.
  */
 TEST_F(SyncPeersTest, MatchingDigestAdvancesTheVersion)
 {
@@ -487,14 +500,13 @@
 		sync_table_states(sync, first);
 		return first[REGISTRY_BACKENDS].version > before;
 	});
-	vouch_to_second();
+	send_digests_to_second();
 	sync_table_states(second_sync, second_views);
 	EXPECT_EQ(first[REGISTRY_BACKENDS].version,
 		  second_views[REGISTRY_BACKENDS].version);
 }
 
-/* Each version of a large document comes, of which only the newest is needed.
- */
+/* Changes hold each version of a large document; only the newest is needed. */
 TEST_F(SyncPeersTest, StaleRoutesAreReadInFullOnce)
 {
 	const int routes = 600;
@@ -502,14 +514,14 @@
 	extra_routes = routes_named_n(routes);
 	put_routes(2);
 	start_both();
-	vouch_to_second();
+	send_digests_to_second();
 	turn_for(1000);
 	edge->settings.link_mbps = 0.00001; /* no answer fits */
 	for (int version = 3; version <= 8; version++)
 		put_routes(version);
 	wait_for([this] { return edge->routes->version == 8; });
 	uint64_t before = metric_value(edge->stats.registry_bytes);
-	vouch_to_second();
+	send_digests_to_second();
 	wait_for([this] { return second.routes->version == 8; });
 	uint64_t document =
 		strlen(store_stand_get(store, "op", "config")) * 4 / 3;
@@ -517,7 +529,7 @@
 		  2 * document);
 }
 
-/* The reader is gone: nobody says that there are several newer versions. */
+/* Without a reader no digest shows that there are several newer versions. */
 TEST_F(SyncPeersTest, UnconfirmedRoutesAreReadInFullOnce)
 {
 	extra_routes = routes_named_n(600);
@@ -525,7 +537,7 @@
 	start_first();
 	put_member("n2", endpoint_at(2), 10);
 	start_second();
-	vouch_to_second();
+	send_digests_to_second();
 	for (int version = 3; version <= 8; version++)
 		put_routes(version);
 	wait_for([this] { return edge->routes->version == 8; });
--- a/tests/edge/sync_test.cc
+++ b/tests/edge/sync_test.cc
@@ -1,4 +1,6 @@
-/* What a node believes of the platform's tables, with the store in trouble. */
+/*
+ * The tables of a node while the store fails.
+ */
 #include <set>
 
 #include "core/hash.h"
@@ -11,7 +13,7 @@
 class SyncTest : public EdgeWorld
 {
       protected:
-	void set_silent(bool silent)
+	void set_unreachable(bool silent)
 	{
 		struct store_faults faults = {};
 
@@ -22,7 +24,7 @@
 	{
 		return backend_table_find(edge->backends, id) != nullptr;
 	}
-	bool has_lost(const char *name)
+	bool call_fails(const char *name)
 	{
 		struct sync_table_state views[SYNC_TABLES];
 		uint32_t count = sync_table_states(sync, views);
@@ -35,18 +37,19 @@
 };
 
 /*
- * The store was silent for a while and is back. The operator's new routes are
- * refused with 404 for ten seconds more: the call that waits for changes was
- * made while the store was silent, and waits for its own time-out.
+ * After an outage of the store the call held for routes still waits for its own
+ * time-out, made while the store was unreachable. Until it ends, requests for
+ * new routes would be refused with 404, for up to ten seconds.
  */
 TEST_F(SyncTest, HeldCallEndsWhenTheStoreIsBack)
 {
 	add_app("i-1");
 	start_node();
-	set_silent(true);
-	wait_for([this] { return has_lost("backends"); }, "the store is lost");
+	set_unreachable(true);
+	wait_for([this] { return call_fails("backends"); },
+		 "the store is lost");
 	turn_for(1500);
-	set_silent(false);
+	set_unreachable(false);
 	put_routes(7);
 	uint64_t calls = store_stand_calls(store);
 	wait_for([this] { return edge->routes->version == 7; });
@@ -54,48 +57,48 @@
 }
 
 /*
- * A node is cut off from the store; meanwhile a server leaves, and its entry is
- * removed. Back in touch, the node must not take the missing entry for one that
- * lapsed with the store and send requests there for two seconds more: most
- * other entries are there, so the store wasn't away.
+ * A server leaves while a node is partitioned from the store. The node must not
+ * treat the missing entry as expired in an outage of the store, and send
+ * requests to it for two more seconds: most other entries are there, so the
+ * store wasn't down.
  */
 TEST_F(SyncTest, ServerRemovedDuringAPartitionIsDroppedAtOnce)
 {
 	for (int i = 0; i < 10; i++)
 		add_app("i-" + std::to_string(i));
 	start_node();
-	set_silent(true);
-	wait_for([this] { return has_lost("backends"); });
+	set_unreachable(true);
+	wait_for([this] { return call_fails("backends"); });
 	store_stand_put(store, "servers", "i-3", nullptr);
 	for (App &app : apps)
 		if (app.id != "i-3")
 			list_app(app, "ready", "0ms", 2);
-	set_silent(false);
+	set_unreachable(false);
 	wait_for([this] { return !knows("i-3"); });
 	EXPECT_LE(sync_expiry_grace_left_us(sync), 250000u);
 }
 
 /*
- * The same, and nothing else changed meanwhile: the feed names only the one
- * that left. Entries that it doesn't name are there as before, not missing.
+ * The same without other changes: the change feed names only the server that
+ * left. Entries that it doesn't name are unchanged, not missing.
  */
 TEST_F(SyncTest, RowsNotInTheChangeFeedAreNotMissing)
 {
 	for (int i = 0; i < 10; i++)
 		add_app("i-" + std::to_string(i));
 	start_node();
-	set_silent(true);
-	wait_for([this] { return has_lost("backends"); });
+	set_unreachable(true);
+	wait_for([this] { return call_fails("backends"); });
 	store_stand_put(store, "servers", "i-3", nullptr);
-	set_silent(false);
+	set_unreachable(false);
 	wait_for([this] { return !knows("i-3"); });
 	EXPECT_LE(sync_expiry_grace_left_us(sync), 250000u);
 }
 
 /*
- * The store was away and all entries lapsed meanwhile. The servers live, and
- * are back in the list within two seconds: a node that dropped them at once
- * would refuse all requests until then.
+ * All entries expired in an outage of the store. The servers are live and
+ * listed again within two seconds; a node that removed them at once would
+ * refuse all requests until then.
  */
 TEST_F(SyncTest, EntriesThatExpiredInAStoreOutageAreKept)
 {
@@ -103,11 +106,11 @@
 
 	add_app("i-2");
 	start_node();
-	set_silent(true);
-	wait_for([this] { return has_lost("backends"); });
+	set_unreachable(true);
+	wait_for([this] { return call_fails("backends"); });
 	store_stand_put(store, "servers", "i-1", nullptr);
 	store_stand_put(store, "servers", "i-2", nullptr);
-	set_silent(false);
+	set_unreachable(false);
 	wait_for([this] {
 		struct backend *backend =
 			backend_table_find(edge->backends, "i-1");
@@ -122,25 +125,28 @@
 	EXPECT_TRUE(knows("i-1"));
 }
 
-/* The history is forgotten while the node follows: it reads the table anew. */
+/*
+ * The store drops the change history that the node follows: the node reads the
+ * table in full.
+ */
 TEST_F(SyncTest, LostHistoryCausesAFullRead)
 {
 	add_app("i-1");
 	add_app("i-2");
 	start_node();
-	set_silent(true);
-	wait_for([this] { return has_lost("backends"); });
+	set_unreachable(true);
+	wait_for([this] { return call_fails("backends"); });
 	store_stand_put(store, "servers", "i-2", nullptr);
 	list_app(apps[0], "draining");
 	put_routes(5);
 	store_stand_forget(store);
-	set_silent(false);
+	set_unreachable(false);
 	wait_for([this] { return edge->routes->version == 5; });
 	wait_for([this] { return !knows("i-2"); });
 	EXPECT_TRUE(backend_table_find(edge->backends, "i-1")->draining);
 }
 
-/* Versions only go forward, also when an older one comes later. */
+/* An older version that arrives later is ignored. */
 TEST_F(SyncTest, OlderVersionIsIgnored)
 {
 	start_node();
@@ -151,7 +157,7 @@
 	wait_for([this] { return edge->routes->version == 10; });
 }
 
-/* A document that can't be read leaves the one before it in force. */
+/* A document that can't be decoded leaves the previous one in force. */
 TEST_F(SyncTest, InvalidDocumentChangesNothing)
 {
 	start_node();
@@ -161,8 +167,8 @@
 }
 
 /*
- * An evacuated failure domain gets nothing, and its servers count as cold when
- * it is taken back: their caches emptied meanwhile.
+ * An evacuated failure domain gets no requests. When the evacuation ends its
+ * servers count as cold, since their caches emptied.
  */
 TEST_F(SyncTest, EvacuatedDomainGetsNoRequests)
 {
@@ -185,81 +191,83 @@
 		  edge_now_us(edge));
 }
 
-/* With a neighbour that reads the tables for the region. */
+/* With a peer that is the region's reader. */
 class ReaderSyncTest : public SyncTest
 {
       protected:
-	/* What the reader's beat says of both tables. */
-	void vouch(uint32_t age_ms, uint64_t differs = 0)
+	/* Receives the reader's heartbeat, with digests of both tables. */
+	void receive_reader_digests(uint32_t age_ms, uint64_t differs = 0)
 	{
-		struct beat_vouch vouches[BEAT_MAX_VOUCHES];
-		uint32_t count = sync_fill_digests(sync, vouches);
+		struct beat_vouch digests[BEAT_MAX_VOUCHES];
+		uint32_t count = sync_fill_digests(sync, digests);
 
-		member_heard(member_table_find(edge->members, "reader"), ++beat,
-			     false, edge_now_us(edge));
+		member_heard(member_table_find(edge->members, "reader"),
+			     ++heartbeat, false, edge_now_us(edge));
 		for (uint32_t i = 0; i < count; i++) {
-			vouches[i].age_ms = age_ms;
-			vouches[i].digest += differs;
-			sync_receive_digest(sync, &vouches[i]);
+			digests[i].age_ms = age_ms;
+			digests[i].digest += differs;
+			sync_receive_digest(sync, &digests[i]);
 		}
 	}
-	uint64_t beat = 0;
+	uint64_t heartbeat = 0;
 };
 
-/* While a neighbour vouches, the node makes next to no calls of its own. */
+/*
+ * While the reader's digests match, the node makes almost no calls of its own.
+ */
 TEST_F(ReaderSyncTest, MatchingDigestsReplaceOwnCalls)
 {
 	add_app("i-1");
 	start_node();
 	add_reader();
-	vouch(0);
+	receive_reader_digests(0);
 	turn_for(1500);
 	uint64_t calls = store_stand_calls(store);
 	for (int i = 0; i < 15; i++) {
-		vouch(100);
+		receive_reader_digests(100);
 		turn_for(200);
 	}
 	EXPECT_LE(store_stand_calls(store) - calls, 2u);
 }
 
-/* A neighbour that is cut off from the store vouches for what was: not taken.
- */
+/* A peer partitioned from the store sends digests of an old state: ignored. */
 TEST_F(ReaderSyncTest, OldDigestIsIgnored)
 {
 	add_app("i-1");
 	start_node();
 	add_reader();
-	vouch(0);
+	receive_reader_digests(0);
 	put_routes(8);
 	for (int i = 0; i < 100 && edge->routes->version != 8; i++) {
-		vouch(10000);
+		receive_reader_digests(10000);
 		turn_for(50);
 	}
 	EXPECT_EQ(8u, edge->routes->version);
 }
 
-/* The neighbour knows otherwise: the node asks the store at once. */
+/* The reader's digest differs: the node asks the store at once. */
 TEST_F(ReaderSyncTest, DifferentDigestCausesARead)
 {
 	add_app("i-1");
 	start_node();
 	add_reader();
 	for (int i = 0; i < 6; i++) {
-		vouch(0);
+		receive_reader_digests(0);
 		turn_for(200);
 	}
 	list_app(apps[0], "draining");
-	vouch(0, 1);
+	receive_reader_digests(0, 1);
 	wait_for([this] {
 		return backend_table_find(edge->backends, "i-1")->draining;
 	});
 }
 
 /*
- * A node was cut off for seconds. Its neighbours' beats were back before its
- * own calls went through, and confirmed the servers; the routes that had
- * changed meanwhile it never asked for, since the call that was to try the path
- * for both tables wasn't made any more. Callers got what older routes say.
+ * After a partition of some seconds the reader's heartbeats arrive before the
+ * node's own calls succeed, and confirm the backend servers. The call for
+ * backend servers, whose success resumes the other tables' calls, is then no
+ * longer made; routes that changed must be read all the same, or callers get
+ * what the old routes say.
  */
 TEST_F(ReaderSyncTest, UnconfirmedTableIsReadThoughAnotherIsConfirmed)
 {
@@ -274,23 +282,25 @@
 		member->hash = 0;
 		member->link_mbps = edge->members->self->link_mbps;
 	}
-	vouch(0);
-	set_silent(true);
-	wait_for([this] { return has_lost("backends") && has_lost("config"); });
+	receive_reader_digests(0);
+	set_unreachable(true);
+	wait_for([this] {
+		return call_fails("backends") && call_fails("config");
+	});
 	put_routes(8);
-	set_silent(false);
+	set_unreachable(false);
 	uint64_t end_ns = uv_hrtime() + 3000ull * 1000000;
 	while (edge->routes->version != 8 && uv_hrtime() < end_ns) {
-		struct beat_vouch vouches[BEAT_MAX_VOUCHES];
-		uint32_t count = sync_fill_digests(sync, vouches);
+		struct beat_vouch digests[BEAT_MAX_VOUCHES];
+		uint32_t count = sync_fill_digests(sync, digests);
 
-		member_heard(member_table_find(edge->members, "reader"), ++beat,
-			     false, edge_now_us(edge));
+		member_heard(member_table_find(edge->members, "reader"),
+			     ++heartbeat, false, edge_now_us(edge));
 		for (uint32_t i = 0; i < count; i++) {
-			vouches[i].age_ms = 0;
-			vouches[i].digest += vouches[i].table ==
+			digests[i].age_ms = 0;
+			digests[i].digest += digests[i].table ==
 					     REGISTRY_CONFIG;
-			sync_receive_digest(sync, &vouches[i]);
+			sync_receive_digest(sync, &digests[i]);
 		}
 		turn_for(100);
 	}
@@ -298,9 +308,9 @@
 }
 
 /*
- * A planned restart while the store is away: the node knew nothing and refused
- * everything until the store was back. A neighbour gives it what it knows; a
- * server that left meanwhile isn't in it.
+ * A restart in an outage of the store: the node has no tables and refuses all
+ * requests until the store is back. A peer's snapshot lets it serve; a server
+ * that left meanwhile isn't in it.
  */
 TEST_F(SyncTest, StartDuringAStoreOutageUsesAPeersSnapshot)
 {
@@ -316,7 +326,7 @@
 	wait_for([this] {
 		return backend_table_find(edge->backends, "i-2")->draining;
 	});
-	set_silent(true);
+	set_unreachable(true);
 	edge_init(&second, &loop, clock_system(), platform_dialect(),
 		  platform_store(), &settings);
 	stats_init(&second.stats);
@@ -329,12 +339,12 @@
 	});
 	EXPECT_EQ(6u, second.routes->version);
 	EXPECT_NE(nullptr, backend_table_find(second.backends, "i-1"));
-	/* It is known as one that leaves, as to the neighbour. */
+	/* It drains, as at the peer. */
 	EXPECT_TRUE(backend_table_find(second.backends, "i-2")->draining);
-	/* Back in touch, the store's word replaces all of it. */
+	/* When the store is back, its rows replace the snapshot. */
 	store_stand_put(store, "servers", "i-1", nullptr);
 	put_routes(7);
-	set_silent(false);
+	set_unreachable(false);
 	wait_for([&] { return second.routes->version == 7; });
 	wait_for([&] { return !backend_table_find(second.backends, "i-1"); });
 	sync_close(second_sync);
@@ -344,9 +354,9 @@
 }
 
 /*
- * Another writer spoils the entry of one server, and adds some that are none.
- * Requests went on to whatever stood there before; the other server, and the
- * one whose own next entry is whole, serve.
+ * Another writer damages a server's entry and adds invalid ones. The damaged
+ * entry's server must get no requests any more. Other servers serve, and so
+ * does this one after its next valid entry.
  */
 TEST_F(SyncTest, UnreadableEntryRemovesTheServer)
 {
@@ -366,9 +376,9 @@
 		EXPECT_EQ(200, status_of(answer_to(
 				       get("a" + std::to_string(i), "/o/"))));
 	EXPECT_EQ(0u, app_stand_total_runs(spoiled.stand));
-	/* What it knows is told to a node that starts, but for such bytes. */
+	/* A snapshot holds the valid entries only. */
 	GBytes *bytes = sync_snapshot(sync, SNAPSHOT_ALL);
-	std::set<std::string> told;
+	std::set<std::string> backend_ids;
 	const struct snapshot_visitor names = {
 		.table = [](void *, const struct snapshot_table *) {},
 		.row = [](void *, const struct snapshot_row *) {},
@@ -380,19 +390,20 @@
 		.lapsed = [](void *, const char *) {},
 	};
 	EXPECT_TRUE(snapshot_read(g_bytes_get_data(bytes, nullptr),
-				  g_bytes_get_size(bytes), &names, &told));
+				  g_bytes_get_size(bytes), &names,
+				  &backend_ids));
 	g_bytes_unref(bytes);
-	EXPECT_EQ(0u, told.count("i-8"));
-	EXPECT_EQ(1u, told.count("i-2"));
+	EXPECT_EQ(0u, backend_ids.count("i-8"));
+	EXPECT_EQ(1u, backend_ids.count("i-2"));
 	list_app(spoiled, "ready");
 	wait_for([this] { return knows("i-1"); });
 }
 
 /*
- * A server crashes and starts again under its id, at another port; the one
- * before hangs with its connections open. A posting sent on such a kept
- * connection ran into its time-out. Nothing that was known of the life before
- * holds for this one: neither its connections nor its cache.
+ * A server crashes and restarts under its id at another port, while the old
+ * process hangs with its connections open; a request on such a kept connection
+ * would time out. Connections and warm objects of the old incarnation must not
+ * be used for the new one.
  */
 TEST_F(SyncTest, RestartedServerIsANewIncarnation)
 {
@@ -419,14 +430,14 @@
 		  backend_table_find(edge->backends, "i-1")->life);
 	EXPECT_EQ(200, status_of(answer_to(get("a2", "/o/"))));
 	EXPECT_EQ(1u, app_stand_runs(again.stand, "a2"));
-	/* A late entry of the life before changes nothing. */
+	/* A late entry of the old incarnation is ignored. */
 	list_app(before, "draining", "0ms", 3, ",\"born\":1000");
 	turn_for(300);
 	EXPECT_FALSE(backend_table_find(edge->backends, "i-1")->draining);
 	EXPECT_EQ(200, status_of(answer_to(get("a3", "/o/"))));
 }
 
-/* The row of a node that is gone for good is struck from the store. */
+/* The row of a node that is lost for good is removed from the store. */
 TEST_F(SyncTest, LostNodesRowIsRemoved)
 {
 	store_stand_put(store, "members", "gone",
@@ -445,7 +456,7 @@
 	EXPECT_EQ(1u, member_table_count(edge->members));
 }
 
-/* Bytes that are no snapshot bring nothing. */
+/* Bytes that are no complete snapshot are rejected. */
 TEST(SnapshotTest, TruncatedSnapshotsAreRejected)
 {
 	struct snapshot_writer writer;
@@ -492,7 +503,7 @@
 	g_bytes_unref(bytes);
 }
 
-/* Answers of the store are lost after the write was done: written again. */
+/* The store's answers are lost after the write: the node writes again. */
 TEST_F(SyncTest, OwnRowIsWrittenAgainAfterALostAnswer)
 {
 	struct store_faults faults = {};
@@ -508,14 +519,14 @@
 	wait_for([this] { return edge_is_ready(edge); });
 }
 
-/* Before anything is known: refused as not run, and not ready. */
+/* Without tables a node refuses requests as not run, and isn't ready. */
 TEST_F(SyncTest, NodeWithoutTablesIsNotReady)
 {
-	set_silent(true);
+	set_unreachable(true);
 	start_node(false);
 	EXPECT_EQ(503, status_of(answer_to(get("a1", "/r/"))));
 	EXPECT_FALSE(edge_is_ready(edge));
-	set_silent(false);
+	set_unreachable(false);
 	add_app("i-1");
 	wait_for([this] { return edge_is_ready(edge); });
 }
