--- a/packages/edge/edge_settings.h
+++ b/packages/edge/edge_settings.h
@@ -40,7 +40,7 @@
 	struct endpoint peer; /* for datagrams between nodes */
 	struct endpoint registry; /* for the platform's tables */
 	double link_mbps; /* link of this VM */
-	bool first_start; /* all nodes start, the tables are empty */
+	bool first_start; /* first start of all nodes */
 	uint64_t leave_within_us; /* after it a leaving server gets no requests
 				   */
 	uint64_t config_within_us; /* a change is in force by then */
--- a/packages/edge/quarantine_store.c
+++ b/packages/edge/quarantine_store.c
@@ -212,7 +212,7 @@
 static bool import_record(struct edge *edge, uint64_t fingerprint,
 			  const struct quarantine_record *record)
 {
-	struct suspect_word word = {
+	struct suspect_word update = {
 		.fingerprint = fingerprint,
 		.crash_count = record->life_count,
 		.rounds = record->rounds,
@@ -222,10 +222,10 @@
 	uint32_t i;
 
 	for (i = 0; i < record->life_count; i++) {
-		word.crashes[i].life = record->lives[i];
-		word.crashes[i].age_us = i * US_PER_MS;
+		update.crashes[i].life = record->lives[i];
+		update.crashes[i].age_us = i * US_PER_MS;
 	}
-	return suspect_take(edge->suspects, &word, edge->members->self->hash,
+	return suspect_take(edge->suspects, &update, edge->members->self->hash,
 			    edge->backends, edge_now_us(edge));
 }
 
--- a/packages/edge/sync.c
+++ b/packages/edge/sync.c
@@ -105,18 +105,18 @@
 }
 
 uint32_t sync_table_states(const struct sync *sync,
-			   struct sync_table_state *views)
+			   struct sync_table_state *states)
 {
 	uint32_t i;
 
 	for (i = 0; i < FOLLOWERS; i++) {
 		const struct follower *follower = &sync->followers[i];
 
-		views[i].name = follower->rule->name;
-		views[i].version = follower->version;
-		views[i].loaded = follower->loaded;
-		views[i].confirmed_us = follower->confirmed_us;
-		views[i].failures = follower->failures;
+		states[i].name = follower->rule->name;
+		states[i].version = follower->version;
+		states[i].loaded = follower->loaded;
+		states[i].confirmed_us = follower->confirmed_us;
+		states[i].failures = follower->failures;
 	}
 	return FOLLOWERS;
 }
--- a/packages/edge/sync.h
+++ b/packages/edge/sync.h
@@ -36,7 +36,7 @@
 
 /* Fill in SYNC_TABLES states. Returns their count. */
 uint32_t sync_table_states(const struct sync *sync,
-			   struct sync_table_state *views);
+			   struct sync_table_state *states);
 
 /*
  * Age of the routes in force: time since the platform, directly or through a
@@ -66,8 +66,8 @@
  * digest the table is confirmed up to the same version; it calls the platform
  * itself only where digests differ or the confirmation expires.
  */
-uint32_t sync_fill_digests(const struct sync *sync, struct beat_vouch *vouches);
-void sync_receive_digest(struct sync *sync, const struct beat_vouch *vouch);
+uint32_t sync_fill_digests(const struct sync *sync, struct beat_vouch *digests);
+void sync_receive_digest(struct sync *sync, const struct beat_vouch *received);
 
 /*
  * Snapshot of the tables (sum of SNAPSHOT_TABLE()) that this node has loaded,
--- a/packages/edge/sync_internal.h
+++ b/packages/edge/sync_internal.h
@@ -73,7 +73,7 @@
 struct sync {
 	struct edge *edge;
 	struct follower followers[FOLLOWERS];
-	uint64_t started_us; /* members loaded, else process start */
+	uint64_t started_us; /* when members were loaded, else the start */
 	struct lane own_lane; /* for this node's row */
 	uv_timer_t own_timer;
 	uint32_t own_failures; /* consecutive failed writes */
@@ -88,7 +88,7 @@
 	uint64_t link_busy_until_us; /* for read_may_give() */
 	bool platform_was_away; /* and no backend rows since */
 	bool routes_unreadable; /* newest version can't be decoded */
-	uint64_t expiry_grace_until_us; /* missing servers are kept */
+	uint64_t expiry_grace_until_us; /* missing servers are kept till */
 };
 
 /* sync_plan.c: rules by table. */
--- a/packages/edge/sync_peers.c
+++ b/packages/edge/sync_peers.c
@@ -415,7 +415,7 @@
 	       follower->sync->routes_unreadable;
 }
 
-uint32_t sync_fill_digests(const struct sync *sync, struct beat_vouch *vouches)
+uint32_t sync_fill_digests(const struct sync *sync, struct beat_vouch *digests)
 {
 	uint64_t now_us = edge_now_us(sync->edge);
 	uint32_t count = 0;
@@ -426,10 +426,10 @@
 
 		if (!follower->loaded || is_unreadable(follower))
 			continue;
-		vouches[count].table = follower->rule->table;
-		vouches[count].digest = digest_of(follower);
-		vouches[count].version = follower->version;
-		vouches[count].age_ms =
+		digests[count].table = follower->rule->table;
+		digests[count].digest = digest_of(follower);
+		digests[count].version = follower->version;
+		digests[count].age_ms =
 			(uint32_t)((now_us - follower->confirmed_us) /
 				   US_PER_MS);
 		count++;
@@ -437,21 +437,21 @@
 	return count;
 }
 
-void sync_receive_digest(struct sync *sync, const struct beat_vouch *vouch)
+void sync_receive_digest(struct sync *sync, const struct beat_vouch *received)
 {
 	uint64_t now_us = edge_now_us(sync->edge);
 	struct follower *follower;
 	uint64_t at_us;
 
-	if (vouch->table >= FOLLOWERS)
+	if (received->table >= FOLLOWERS)
 		return;
-	follower = &sync->followers[vouch->table];
-	at_us = now_us - MIN(now_us, vouch->age_ms * US_PER_MS);
+	follower = &sync->followers[received->table];
+	at_us = now_us - MIN(now_us, received->age_ms * US_PER_MS);
 	if (!follower->loaded || at_us <= follower->confirmed_us)
 		return;
-	if (vouch->digest == digest_of(follower)) {
+	if (received->digest == digest_of(follower)) {
 		follower->confirmed_us = at_us;
-		follower->version = MAX(follower->version, vouch->version);
+		follower->version = MAX(follower->version, received->version);
 		follower->answered_us = MAX(follower->answered_us, at_us);
 		follower->peer_attempts = 0;
 		return;
--- a/packages/edge/sync_plan.c
+++ b/packages/edge/sync_plan.c
@@ -167,13 +167,13 @@
 		       struct read_state *state)
 {
 	const struct sync *sync = follower->sync;
-	const struct member *neighbour;
+	const struct member *peer;
 
 	state->is_reader = reads_for_region(sync);
 	state->whole = follower->loaded;
 	state->rank = read_rank(follower);
-	state->has_neighbours = member_table_first_readers(sync->edge->members,
-							   &neighbour, 1) > 0;
+	state->has_neighbours =
+		member_table_first_readers(sync->edge->members, &peer, 1) > 0;
 	state->started_us = sync->started_us;
 	state->confirmed_us = follower->confirmed_us;
 	state->word_us =
--- a/tests/edge/sync_test.cc
+++ b/tests/edge/sync_test.cc
@@ -13,11 +13,11 @@
 class SyncTest : public EdgeWorld
 {
       protected:
-	void set_unreachable(bool silent)
+	void set_unreachable(bool unreachable)
 	{
 		struct store_faults faults = {};
 
-		faults.silent = silent;
+		faults.silent = unreachable;
 		store_stand_set_faults(store, &faults);
 	}
 	bool knows(const char *id)
@@ -332,9 +332,9 @@
 	stats_init(&second.stats);
 	second_sync = sync_open(&second);
 	wait_for([&] {
-		struct endpoint neighbour = at(peers);
+		struct endpoint peer = at(peers);
 
-		sync_receive_peer_address(second_sync, &neighbour);
+		sync_receive_peer_address(second_sync, &peer);
 		return edge_is_ready(&second);
 	});
 	EXPECT_EQ(6u, second.routes->version);
