--- a/tests/core/rate_limit_test.cc
+++ b/tests/core/rate_limit_test.cc
@@ -70,12 +70,12 @@
 	double believed;
 };
 
-struct denial_case {
+struct belief_case {
 	const char *name;
 	std::vector<belief_step> steps;
 };
 
-const denial_case denial_cases[] = {
+const belief_case belief_cases[] = {
 	{ "Named", { { 'a', 2, 10, 11, 2 } } },
 	{ "NeverNamed", { { 'a', 0, 10, 11, 0 } } },
 	{ "Lowered", { { 'a', 9, 10, 12, 9 }, { 'a', 2, 11, 13, 2 } } },
@@ -100,11 +100,11 @@
 	  { { 'w', 2, 12, 13, 2 }, { 'a', 0, 11, 14, 2 } } },
 };
 
-class DenialConfirmationTest : public ::testing::TestWithParam<denial_case>
+class BeliefTest : public ::testing::TestWithParam<belief_case>
 {
 };
 
-TEST_P(DenialConfirmationTest, TheNewestRateIsBelieved)
+TEST_P(BeliefTest, TheNewestRateIsBelieved)
 {
 	struct rate_limit limit = {};
 
@@ -120,8 +120,8 @@
 	}
 }
 
-INSTANTIATE_TEST_SUITE_P(RateLimit, DenialConfirmationTest,
-			 ::testing::ValuesIn(denial_cases),
+INSTANTIATE_TEST_SUITE_P(RateLimit, BeliefTest,
+			 ::testing::ValuesIn(belief_cases),
 			 [](const auto &info) { return info.param.name; });
 
 /* A request that was chosen for the server and never sent costs it nothing. */
--- a/tests/edge/confirmation_test.cc
+++ b/tests/edge/confirmation_test.cc
@@ -24,7 +24,7 @@
 struct denial_case {
 	const char *name;
 	bool differs; /* the reader's digest of the routes differs */
-	bool cut_off; /* unconfirmed for longer than the deadline */
+	bool partitioned; /* unconfirmed for longer than the deadline */
 	int unknown; /* status for a route that isn't in the table */
 	int known; /* status for a route in the table */
 	int large; /* status for a body over the operator's limit */
@@ -32,8 +32,8 @@
 
 const denial_case denial_cases[] = {
 	{ "Confirmed", false, false, 404, 200, 413 },
-	{ "ANeighbourKnowsOthers", true, false, 503, 200, 503 },
-	{ "CutOff", false, true, 503, 200, 503 },
+	{ "ReaderDiffers", true, false, 503, 200, 503 },
+	{ "Partitioned", false, true, 503, 200, 503 },
 };
 
 class DenialConfirmationTest : public ConfirmationTest,
@@ -51,7 +51,7 @@
 	receive_reader_digests(0);
 	turn_for(300);
 	receive_reader_digests(0);
-	if (c.cut_off) {
+	if (c.partitioned) {
 		make_unreachable();
 		turn_for(settings.config_within_us / 1000 + 300);
 	}
