--- a/packages/edge/sync_answer.c
+++ b/packages/edge/sync_answer.c
@@ -20,7 +20,8 @@
 #define MAX_FIRST_BYTE_DELAY_US (100 * US_PER_MS)
 
 /*
- * Schedules the next call: at once after a partial answer or a page of a table.
+ * Schedules the next call: at once after a partial answer or a page of a table,
+ * else when the table's interval is over.
  */
 static void call_next(struct follower *follower,
 		      const struct registry_rows *rows)
