--- a/packages/edge/edge_settings.c
+++ b/packages/edge/edge_settings.c
@@ -13,9 +13,9 @@
 enum setting_kind {
 	KIND_NAME,
 	KIND_ENDPOINT,
-	KIND_SPAN, /* "250ms" */
+	KIND_DURATION, /* "250ms" */
 	KIND_COUNT, /* uint32_t */
-	KIND_NUMBER, /* text of a number, double */
+	KIND_NUMBER, /* decimal number, double */
 	KIND_LEVEL,
 	KIND_FLAG,
 };
@@ -42,35 +42,35 @@
 	{ "listen", "operators", KIND_ENDPOINT, AT(operators), "" },
 	{ "listen", "peer", KIND_ENDPOINT, AT(peer), NULL },
 	{ "registry", "address", KIND_ENDPOINT, AT(registry), NULL },
-	{ "registry", "leave_within", KIND_SPAN, AT(leave_within_us),
+	{ "registry", "leave_within", KIND_DURATION, AT(leave_within_us),
 	  "2500ms" },
-	{ "registry", "config_within", KIND_SPAN, AT(config_within_us),
+	{ "registry", "config_within", KIND_DURATION, AT(config_within_us),
 	  "2500ms" },
 	{ "extra", "ratio", KIND_NUMBER, AT(extra.ratio), "0.1" },
 	{ "extra", "allowance", KIND_NUMBER, AT(extra.allowance), "20" },
-	{ "extra", "window", KIND_SPAN, AT(extra.window_us), "10s" },
-	{ "extra", "nodes_least", KIND_COUNT, AT(nodes_least), "1" },
-	{ "members", "forget", KIND_SPAN, AT(forget_us), "600s" },
-	{ "lookup", "keep", KIND_SPAN, AT(lookup_keep_us), "1s" },
-	{ "stop", "most", KIND_SPAN, AT(stop_most_us), "6s" },
+	{ "extra", "window", KIND_DURATION, AT(extra.window_us), "10s" },
+	{ "extra", "nodes_least", KIND_COUNT, AT(min_nodes), "1" },
+	{ "members", "forget", KIND_DURATION, AT(member_expiry_us), "600s" },
+	{ "lookup", "keep", KIND_DURATION, AT(lookup_keep_us), "1s" },
+	{ "stop", "most", KIND_DURATION, AT(max_stop_us), "6s" },
 	{ "log", "level", KIND_LEVEL, AT(log_level), "info" },
 };
 
-struct reading {
+struct settings_loader {
 	struct edge_settings *settings;
 	const char *path;
 	bool seen[G_N_ELEMENTS(setting_list)];
 };
 
-static bool invalid(GError **error, const char *path, uint32_t line,
-		    const char *key, const char *allowed)
+static bool set_invalid(GError **error, const char *path, uint32_t line,
+			const char *key, const char *allowed)
 {
 	g_set_error(error, RESULT_ERROR, RESULT_SETTINGS_INVALID,
 		    "%s:%u: %s: must be %s", path, line, key, allowed);
 	return false;
 }
 
-/* Store the text; NULL, or what would be allowed. */
+/* Parse and store the text. Returns NULL, or what is allowed. */
 static const char *store_name(void *at, const char *text)
 {
 	if (!*text || strlen(text) >= NAME_SIZE)
@@ -84,14 +84,14 @@
 	memset(at, 0, sizeof(struct endpoint));
 	if (!*text || endpoint_parse(text, at))
 		return NULL;
-	return "an IPv4 address and a port, as 10.0.0.1:8080";
+	return "an IPv4 address and a port, such as 10.0.0.1:8080";
 }
 
-static const char *store_span(void *at, const char *text)
+static const char *store_duration(void *at, const char *text)
 {
 	if (duration_parse(text, at) && *(uint64_t *)at)
 		return NULL;
-	return "a time above 0 with its unit, as 250ms or 2s";
+	return "a duration above 0 with its unit, such as 250ms or 2s";
 }
 
 static const char *store_number(void *at, const char *text)
@@ -109,7 +109,7 @@
 	guint64 count;
 
 	if (!g_ascii_string_to_unsigned(text, 10, 1, 100000, &count, NULL))
-		return "a whole number of 1 to 100000";
+		return "an integer from 1 to 100000";
 	*(uint32_t *)at = (uint32_t)count;
 	return NULL;
 }
@@ -140,8 +140,8 @@
 		return store_name(at, text);
 	case KIND_ENDPOINT:
 		return store_endpoint(at, text);
-	case KIND_SPAN:
-		return store_span(at, text);
+	case KIND_DURATION:
+		return store_duration(at, text);
 	case KIND_COUNT:
 		return store_count(at, text);
 	case KIND_NUMBER:
@@ -167,71 +167,71 @@
 
 static bool visit(void *context, const struct toml_value *value, GError **error)
 {
-	struct reading *reading = context;
+	struct settings_loader *loader = context;
 	const char *allowed;
 	int i;
 
 	if (value->type != TOML_STRING)
-		return invalid(error, reading->path, value->line, value->key,
-			       "a text in quotes");
+		return set_invalid(error, loader->path, value->line, value->key,
+				   "a string in quotes");
 	if (!strcmp(value->table, "domains")) {
-		g_hash_table_insert(reading->settings->regions,
+		g_hash_table_insert(loader->settings->regions,
 				    g_strdup(value->key),
 				    g_strdup(value->string));
 		return true;
 	}
 	i = find_setting(value);
 	if (i < 0)
-		return invalid(error, reading->path, value->line, value->key,
-			       "a key that docs/SETTINGS.md lists");
-	reading->seen[i] = true;
-	allowed = store(reading->settings, &setting_list[i], value->string);
-	return !allowed ||
-	       invalid(error, reading->path, value->line, value->key, allowed);
+		return set_invalid(error, loader->path, value->line, value->key,
+				   "a key listed in docs/SETTINGS.md");
+	loader->seen[i] = true;
+	allowed = store(loader->settings, &setting_list[i], value->string);
+	return !allowed || set_invalid(error, loader->path, value->line,
+				       value->key, allowed);
 }
 
-static bool complete(const struct reading *reading, GError **error)
+static bool apply_defaults(const struct settings_loader *loader, GError **error)
 {
 	size_t i;
 
 	for (i = 0; i < G_N_ELEMENTS(setting_list); i++) {
 		const struct setting *setting = &setting_list[i];
 
-		if (reading->seen[i])
+		if (loader->seen[i])
 			continue;
 		if (!setting->fallback) {
 			g_set_error(error, RESULT_ERROR,
 				    RESULT_SETTINGS_INVALID,
-				    "%s: [%s] %s is missing", reading->path,
+				    "%s: [%s] %s is missing", loader->path,
 				    setting->table, setting->key);
 			return false;
 		}
-		store(reading->settings, setting, setting->fallback);
+		store(loader->settings, setting, setting->fallback);
 	}
-	/* Each failure domain has entry VMs of its own. */
-	reading->settings->nodes_least =
-		MAX(reading->settings->nodes_least,
-		    g_hash_table_size(reading->settings->regions));
+	/* Each failure domain has at least one entry VM. */
+	loader->settings->min_nodes =
+		MAX(loader->settings->min_nodes,
+		    g_hash_table_size(loader->settings->regions));
 	return true;
 }
 
-static bool read_text(struct reading *reading, const char *text, size_t length,
-		      GError **error)
+static bool read_text(struct settings_loader *loader, const char *text,
+		      size_t length, GError **error)
 {
 	if (length > FILE_MAX_BYTES) {
 		g_set_error(error, RESULT_ERROR, RESULT_SETTINGS_INVALID,
-			    "%s: larger than %d bytes", reading->path,
+			    "%s: larger than %d bytes", loader->path,
 			    FILE_MAX_BYTES);
 		return false;
 	}
-	return toml_visit(reading->path, text, length, visit, reading, error) &&
-	       complete(reading, error);
+	return toml_visit(loader->path, text, length, visit, loader, error) &&
+	       apply_defaults(loader, error);
 }
 
 bool edge_settings_load(struct edge_settings *settings, const char *path,
 			GError **error)
 {
-	struct reading reading = { .settings = settings, .path = path };
+	struct settings_loader loader = { .settings = settings, .path = path };
 	GError *cause = NULL;
 	char *text = NULL;
 	gsize length = 0;
@@ -246,7 +246,7 @@
 	}
 	settings->regions =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	good = read_text(&reading, text, length, error);
+	good = read_text(&loader, text, length, error);
 	g_free(text);
 	if (!good)
 		edge_settings_release(settings);
--- a/packages/edge/exchange_suspect.c
+++ b/packages/edge/exchange_suspect.c
@@ -216,7 +216,8 @@
 	suspect_clear(edge->suspects, exchange->fingerprint,
 		      exchange_now_us(exchange));
 	if (was_quarantined && edge->quarantines)
-		quarantine_store_keep(edge->quarantines, exchange->fingerprint);
+		quarantine_store_write(edge->quarantines,
+				       exchange->fingerprint);
 }
 
 /*
--- a/packages/edge/gossip.c
+++ b/packages/edge/gossip.c
@@ -124,7 +124,7 @@
 			  "backend=%s left=%s draining=%s cold_left_ms=%u",
 			  row->id, *row->service ? "no" : "yes",
 			  row->draining ? "yes" : "no", row->cold_left_ms);
-		backend_row_take(edge, row);
+		backend_row_receive(edge, row);
 	}
 }
 
@@ -145,7 +145,7 @@
 		return;
 	apply_rows(edge, heartbeat);
 	for (i = 0; gossip->sync && i < heartbeat->digest_count; i++)
-		sync_vouched(gossip->sync, &heartbeat->digests[i]);
+		sync_receive_digest(gossip->sync, &heartbeat->digests[i]);
 }
 
 /* All peers listen on the same port; the datagram's source port may differ. */
@@ -156,7 +156,7 @@
 
 	if (!uv_ip4_name((const struct sockaddr_in *)from, peer.address,
 			 sizeof(peer.address)))
-		sync_heard_neighbour(gossip->sync, &peer);
+		sync_receive_peer_address(gossip->sync, &peer);
 }
 
 /* Detects that the loop was stalled since the last callback. */
--- a/packages/edge/gossip_send.c
+++ b/packages/edge/gossip_send.c
@@ -355,7 +355,7 @@
 	move_updates(edge->warmth.updates, &heartbeat, edge_now_us(edge));
 	if (gossip->sync && gossip_is_reader(gossip))
 		heartbeat.digest_count =
-			sync_vouches(gossip->sync, heartbeat.digests);
+			sync_fill_digests(gossip->sync, heartbeat.digests);
 	send_near(gossip, &heartbeat);
 }
 
--- a/packages/edge/gossip_updates.c
+++ b/packages/edge/gossip_updates.c
@@ -76,7 +76,7 @@
 
 	suspect_table_expire(edge->suspects, now_us);
 	if (edge->quarantines)
-		quarantine_store_review(edge->quarantines);
+		quarantine_store_remove_lifted(edge->quarantines);
 	gossip_add_sender(gossip, &heartbeat);
 	heartbeat.suspect_count = suspect_collect_updates(
 		edge->suspects, edge->members->self->hash, now_us,
@@ -166,7 +166,7 @@
 		  update->fingerprint, update->crash_count, update->rounds,
 		  update->by_hand ? "yes" : "no", update->left_us);
 	if (suspect->seen_locally && edge->quarantines)
-		quarantine_store_keep(edge->quarantines, update->fingerprint);
+		quarantine_store_write(edge->quarantines, update->fingerprint);
 }
 
 void gossip_apply_updates(struct gossip *gossip,
--- a/tests/edge/gossip_test.cc
+++ b/tests/edge/gossip_test.cc
@@ -96,7 +96,8 @@
 		peer_member->hash = 0;
 		peer_member->link_mbps = edge->members->self->link_mbps;
 		heartbeat.members[heartbeat.member_count++] = { 0, 1, false };
-		heartbeat.digest_count = sync_vouches(sync, heartbeat.digests);
+		heartbeat.digest_count =
+			sync_fill_digests(sync, heartbeat.digests);
 		for (uint32_t i = 0; i < heartbeat.digest_count; i++)
 			heartbeat.digests[i].age_ms = 0;
 		return heartbeat;
