--- a/packages/edge/admin.c
+++ b/packages/edge/admin.c
@@ -5,10 +5,10 @@
 #include "core/admin_json.h"
 #include "core/query.h"
 #include "core/result.h"
-#include "edge/admin_parts.h"
+#include "edge/admin_internal.h"
 
 /* Where each command is given on this platform. */
-static const char *other_way(enum query_verb verb)
+static const char *command_hint(enum query_verb verb)
 {
 	switch (verb) {
 	case COMMAND_SHIFT:
@@ -30,14 +30,14 @@
 	}
 }
 
-static json_t *answer(struct edge *edge, const struct query *query,
-		      GError **error)
+static json_t *execute_query(struct edge *edge, const struct query *query,
+			     GError **error)
 {
-	const char *way = other_way(query->verb);
+	const char *hint = command_hint(query->verb);
 
-	if (way) {
+	if (hint) {
 		g_set_error(error, RESULT_ERROR, RESULT_CONFLICT,
-			    "not a command for this node: %s", way);
+			    "not a command for this node: %s", hint);
 		return NULL;
 	}
 	if (!edge->routes) {
@@ -46,14 +46,14 @@
 		return NULL;
 	}
 	if (query->verb == QUERY_QUARANTINE || query->verb == QUERY_RELEASE)
-		return admin_rule_suspect(edge, query, error);
+		return admin_change_suspect(edge, query, error);
 	if (query->verb == QUERY_WHERE)
-		return admin_where_goes(edge, query, error);
+		return admin_show_where(edge, query, error);
 	return admin_show_table(edge, query, error);
 }
 
-static json_t *carry_out(struct edge *edge, const char *body, size_t length,
-			 GError **error)
+static json_t *execute_body(struct edge *edge, const char *body, size_t length,
+			    GError **error)
 {
 	struct admin_request request;
 	struct query query;
@@ -62,7 +62,7 @@
 	if (!admin_request_parse(body, length, &request, error))
 		return NULL;
 	if (query_parse(request.sentence, &query, error))
-		root = answer(edge, &query, error);
+		root = execute_query(edge, &query, error);
 	log_event(LOG_INFO, "asked", "sentence=\"%s\" answered=%s",
 		  request.sentence, root ? "yes" : "no");
 	admin_request_release(&request);
@@ -73,7 +73,7 @@
 		    enum result *result)
 {
 	GError *error = NULL;
-	json_t *root = carry_out(edge, body, length, &error);
+	json_t *root = execute_body(edge, body, length, &error);
 	char *text;
 
 	*result = RESULT_OK;
--- a/packages/edge/admin_finish.c
+++ b/packages/edge/admin_finish.c
@@ -1,4 +1,4 @@
-#include "edge/admin_parts.h"
+#include "edge/admin_internal.h"
 
 #include "core/admin_json.h"
 #include "core/result.h"
--- a/packages/edge/admin_limits.c
+++ b/packages/edge/admin_limits.c
@@ -1,6 +1,6 @@
 #include "core/admin_json.h"
 #include "core/admin_table.h"
-#include "edge/admin_parts.h"
+#include "edge/admin_internal.h"
 
 static const char *const columns[] = { "backend", "service",	"domain",
 				       "per_s",	  "part_per_s", "tokens",
--- a/packages/edge/admin_show.c
+++ b/packages/edge/admin_show.c
@@ -1,4 +1,4 @@
-#include "edge/admin_parts.h"
+#include "edge/admin_internal.h"
 
 #include <string.h>
 
@@ -26,7 +26,7 @@
 }
 
 /* Values of a table in the order of their names, for g_list_free(). */
-static GList *in_order(GHashTable *by_name)
+static GList *values_by_name(GHashTable *by_name)
 {
 	GList *names = g_list_sort(g_hash_table_get_keys(by_name),
 				   (GCompareFunc)strcmp);
@@ -122,7 +122,7 @@
 	uint64_t now_us = edge_now_us(edge);
 	const struct member *reader =
 		member_table_reader(edge->members, now_us);
-	GList *members = in_order(edge->members->by_name);
+	GList *members = values_by_name(edge->members->by_name);
 	GList *at;
 
 	for (at = members; at; at = at->next) {
@@ -151,8 +151,8 @@
 
 /* --- backend servers ---------------------------------------------------- */
 
-static bool passes_filters(const struct query *query,
-			   const struct backend *backend)
+static bool matches_filters(const struct query *query,
+			    const struct backend *backend)
 {
 	return (!*query->service ||
 		!strcmp(query->service, backend->service)) &&
@@ -216,11 +216,11 @@
 static json_t *show_backends(const struct edge *edge, const struct query *query)
 {
 	struct admin_table table = ADMIN_TABLE_NEW(backend_columns);
-	GList *backends = in_order(edge->backends->by_id);
+	GList *backends = values_by_name(edge->backends->by_id);
 	GList *at;
 
 	for (at = backends; at; at = at->next)
-		if (passes_filters(query, at->data))
+		if (matches_filters(query, at->data))
 			add_backend(edge, at->data, &table);
 	g_list_free(backends);
 	return admin_finish_table(edge, &table, "backend servers");
@@ -271,7 +271,7 @@
 static json_t *show_services(const struct edge *edge)
 {
 	struct admin_table table = ADMIN_TABLE_NEW(service_columns);
-	GList *services = in_order(edge->routes->services);
+	GList *services = values_by_name(edge->routes->services);
 	GList *at;
 
 	for (at = services; at; at = at->next)
@@ -309,7 +309,7 @@
 static json_t *show_routes(const struct edge *edge)
 {
 	struct admin_table table = ADMIN_TABLE_NEW(route_columns);
-	GList *hosts = in_order(edge->routes->hosts);
+	GList *hosts = values_by_name(edge->routes->hosts);
 	GList *at;
 
 	for (at = hosts; at; at = at->next) {
@@ -359,7 +359,7 @@
 	static const char *const columns[] = { "cause", "status", "count",
 					       "last_age_us", "last_request" };
 	struct admin_table table = ADMIN_TABLE_NEW(columns);
-	GList *refusals = in_order(edge->refusals);
+	GList *refusals = values_by_name(edge->refusals);
 	GList *at;
 
 	for (at = refusals; at; at = at->next) {
@@ -369,7 +369,7 @@
 			admin_json_number(refusal->status),
 			admin_json_number(refusal->count),
 			age(refusal->last_us, edge_now_us(edge)),
-			admin_json_text(refusal->last_id),
+			admin_json_text(refusal->last_request_id),
 		};
 
 		ADMIN_TABLE_ADD(&table, columns, values);
--- a/packages/edge/admin_suspects.c
+++ b/packages/edge/admin_suspects.c
@@ -1,4 +1,4 @@
-#include "edge/admin_parts.h"
+#include "edge/admin_internal.h"
 
 #include <inttypes.h>
 
@@ -78,7 +78,7 @@
 	return admin_finish_table(edge, &table, "suspects");
 }
 
-static json_t *done(const struct query *query)
+static json_t *success_answer(const struct query *query)
 {
 	char *message = g_strdup_printf(
 		"%016" PRIx64 " is %s", query->fingerprint,
@@ -89,8 +89,8 @@
 	return root;
 }
 
-json_t *admin_rule_suspect(struct edge *edge, const struct query *query,
-			   GError **error)
+json_t *admin_change_suspect(struct edge *edge, const struct query *query,
+			     GError **error)
 {
 	uint64_t now_us = edge_now_us(edge);
 	bool releases = query->verb == QUERY_RELEASE;
@@ -115,5 +115,5 @@
 		gossip_tell_words(edge->gossip);
 	if (edge->quarantines)
 		quarantine_store_keep(edge->quarantines, query->fingerprint);
-	return done(query);
+	return success_answer(query);
 }
--- a/packages/edge/admin_where.c
+++ b/packages/edge/admin_where.c
@@ -1,4 +1,4 @@
-#include "edge/admin_parts.h"
+#include "edge/admin_internal.h"
 
 #include <string.h>
 
@@ -60,25 +60,26 @@
 	return false;
 }
 
-static bool make_query(const struct edge *edge, const struct query *query,
-		       struct choose_query *made, GError **error)
+static bool make_choose_query(const struct edge *edge,
+			      const struct query *query,
+			      struct choose_query *choice, GError **error)
 {
-	memset(made, 0, sizeof(*made));
-	made->service = route_table_service(edge->routes, query->service);
-	if (!made->service) {
+	memset(choice, 0, sizeof(*choice));
+	choice->service = route_table_service(edge->routes, query->service);
+	if (!choice->service) {
 		g_set_error(error, RESULT_ERROR, RESULT_UNKNOWN_NAME,
 			    "there is no service %s", query->service);
 		return false;
 	}
-	made->route = route_to(edge, query->service);
-	if (!made->route) {
+	choice->route = route_to(edge, query->service);
+	if (!choice->route) {
 		g_set_error(error, RESULT_ERROR, RESULT_CONFLICT,
 			    "no route goes to service %s", query->service);
 		return false;
 	}
-	made->left_us = made->route->timeout_us;
-	made->has_object = *query->object_key != '\0';
-	made->object = hash_text(query->object_key);
+	choice->left_us = choice->route->timeout_us;
+	choice->has_object = *query->object_key != '\0';
+	choice->object = hash_text(query->object_key);
 	return true;
 }
 
@@ -128,7 +129,7 @@
 	return root;
 }
 
-json_t *admin_where_goes(const struct edge *edge, const struct query *query,
+json_t *admin_show_where(const struct edge *edge, const struct query *query,
 			 GError **error)
 {
 	static const char *const columns[] = {
@@ -137,15 +138,15 @@
 	};
 	uint64_t now_us = edge_now_us(edge);
 	struct admin_table table;
-	struct choose_query made;
+	struct choose_query choice;
 	GArray *views;
 	json_t *root;
 	guint i;
 
 	if (!check_domain(edge, query->from, error) ||
-	    !make_query(edge, query, &made, error))
+	    !make_choose_query(edge, query, &choice, error))
 		return NULL;
-	views = choose_explain(&edge->chooser, &made, now_us);
+	views = choose_explain(&edge->chooser, &choice, now_us);
 	table = ADMIN_TABLE_NEW(columns);
 	for (i = 0; i < views->len; i++) {
 		const struct choose_view *view =
@@ -168,7 +169,7 @@
 
 		ADMIN_TABLE_ADD(&table, columns, values);
 	}
-	root = make_message(edge, &made, best_of(views));
+	root = make_message(edge, &choice, best_of(views));
 	admin_table_move(root, &table, edge->routes->version);
 	g_array_unref(views);
 	return root;
--- a/packages/edge/caller.c
+++ b/packages/edge/caller.c
@@ -246,7 +246,7 @@
 
 	log_event(LOG_INFO, "request-rejected", "status=%u cause=%s", status,
 		  cause);
-	edge_note_refusal(caller->edge, cause, status, "none");
+	edge_record_refusal(caller->edge, cause, status, "none");
 	if (status == 503) {
 		metric_add(caller->edge->stats.refused, 1);
 		g_string_append(headers, "Retry-After: " LIMITS_RETRY_S "\r\n");
@@ -303,7 +303,7 @@
 	ssize_t count;
 	char byte;
 
-	if (!edge_is_late(caller->edge) ||
+	if (!edge_reads_may_be_stale(caller->edge) ||
 	    uv_fileno((const uv_handle_t *)&caller->tcp, &fd))
 		return false;
 	count = recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -333,7 +333,7 @@
 		message_free(request);
 		return;
 	}
-	if (message_count(request, "Host") != 1) {
+	if (message_count_headers(request, "Host") != 1) {
 		message_free(request);
 		reject(caller, 400, "one Host header is needed");
 		return;
@@ -533,14 +533,14 @@
  */
 static void note_standstill(struct edge *edge, uint64_t now_us)
 {
-	uint64_t passed_us = now_us - edge->swept_us;
+	uint64_t passed_us = now_us - edge->last_sweep_us;
 	GList *at;
 
-	if (passed_us >= EDGE_LATE_US) {
-		edge->late_until_us = now_us + EDGE_LATE_US;
-		edge->stood_since_us = edge->swept_us;
+	if (passed_us >= EDGE_STALE_PAUSE_US) {
+		edge->stale_until_us = now_us + EDGE_STALE_PAUSE_US;
+		edge->pause_began_us = edge->last_sweep_us;
 	}
-	edge->swept_us = now_us;
+	edge->last_sweep_us = now_us;
 	if (passed_us < LATE_SWEEP_US)
 		return;
 	for (at = edge->callers.head; at; at = at->next)
@@ -578,7 +578,7 @@
 
 bool callers_are_unread(const struct edge *edge)
 {
-	return edge_is_late(edge);
+	return edge_reads_may_be_stale(edge);
 }
 
 bool callers_are_waiting(const struct edge *edge)
--- a/packages/edge/crash_watch.c
+++ b/packages/edge/crash_watch.c
@@ -9,22 +9,22 @@
 #include "edge/quarantine_store.h"
 
 /* Requests that broke off and aren't judged yet. */
-#define BREAKS_MOST 128
+#define MAX_BROKEN_REQUESTS 128
 
 /* How often servers are looked at, and when one that answers nothing is left.
  */
-#define FIRST_LOOK_US (2 * US_PER_MS)
-#define LOOK_US (20 * US_PER_MS)
-#define GIVE_UP_US (1 * US_PER_S)
+#define FIRST_CHECK_US (2 * US_PER_MS)
+#define CHECK_INTERVAL_US (20 * US_PER_MS)
+#define CHECK_TIMEOUT_US (1 * US_PER_S)
 
 /*
  * So many servers of a failure domain that end within this time have a cause in
  * common, and it isn't what ran there.
  */
-#define DOMAIN_ENDS 3
-#define DOMAIN_ENDS_US (60 * US_PER_MS)
+#define DOMAIN_OUTAGE_SERVERS 3
+#define DOMAIN_OUTAGE_US (60 * US_PER_MS)
 
-struct request_break {
+struct broken_request {
 	struct backend *backend; /* holds a reference */
 	uint64_t fingerprint;
 	uint64_t sent_us;
@@ -36,12 +36,12 @@
 struct crash_watch {
 	struct edge *edge;
 	uv_timer_t timer;
-	struct request_break breaks[BREAKS_MOST];
+	struct broken_request requests[MAX_BROKEN_REQUESTS];
 	uint32_t count;
 	GQueue probes; /* of struct probe, the oldest first */
 };
 
-enum verdict { VERDICT_OPEN, VERDICT_LIVES, VERDICT_ENDED };
+enum verdict { VERDICT_UNDECIDED, VERDICT_ALIVE, VERDICT_CRASHED };
 
 /* --- probes ------------------------------------------------------------- */
 
@@ -53,7 +53,7 @@
 	uint64_t began_us;
 };
 
-static void look_soon(struct crash_watch *watch);
+static void check_now(struct crash_watch *watch);
 
 static void probe_end(struct probe *probe)
 {
@@ -62,7 +62,7 @@
 	g_queue_remove(&watch->probes, probe);
 	pool_drop(probe->conn);
 	g_free(probe);
-	look_soon(watch);
+	check_now(watch);
 }
 
 static void on_probe_opened(struct conn_user *user, struct conn *conn)
@@ -115,11 +115,11 @@
 }
 
 /* A server that fell silent neither takes a connection nor refuses it. */
-static void drop_old_probes(struct crash_watch *watch, uint64_t now_us)
+static void drop_stalled_probes(struct crash_watch *watch, uint64_t now_us)
 {
 	struct probe *oldest = g_queue_peek_head(&watch->probes);
 
-	while (oldest && now_us - oldest->began_us >= GIVE_UP_US) {
+	while (oldest && now_us - oldest->began_us >= CHECK_TIMEOUT_US) {
 		probe_end(oldest);
 		oldest = g_queue_peek_head(&watch->probes);
 	}
@@ -127,31 +127,34 @@
 
 /* --- judging ------------------------------------------------------------ */
 
-static enum verdict judge(const struct request_break *one, uint64_t now_us)
+static enum verdict decide(const struct broken_request *request,
+			   uint64_t now_us)
 {
-	const struct backend *backend = one->backend;
+	const struct backend *backend = request->backend;
 
-	if (backend->unreachable_us > one->at_us)
-		return VERDICT_ENDED;
-	if (backend->alive_us > one->at_us)
-		return VERDICT_LIVES;
+	if (backend->unreachable_us > request->at_us)
+		return VERDICT_CRASHED;
+	if (backend->alive_us > request->at_us)
+		return VERDICT_ALIVE;
 	if (!backend->connections && backend->ended_together > 1)
-		return VERDICT_ENDED;
-	return now_us - one->at_us > GIVE_UP_US ? VERDICT_LIVES : VERDICT_OPEN;
+		return VERDICT_CRASHED;
+	return now_us - request->at_us > CHECK_TIMEOUT_US ? VERDICT_ALIVE :
+							    VERDICT_UNDECIDED;
 }
 
-static bool ended_with(const struct backend *backend,
-		       const struct request_break *one)
+static bool crashed_with(const struct backend *backend,
+			 const struct broken_request *request)
 {
 	uint64_t at_us = backend->ended_us;
 
 	return !backend->connections &&
-	       !strcmp(backend->domain, one->backend->domain) &&
-	       MAX(at_us, one->at_us) - MIN(at_us, one->at_us) < DOMAIN_ENDS_US;
+	       !strcmp(backend->domain, request->backend->domain) &&
+	       MAX(at_us, request->at_us) - MIN(at_us, request->at_us) <
+		       DOMAIN_OUTAGE_US;
 }
 
-static bool domain_ended(const struct edge *edge,
-			 const struct request_break *one)
+static bool is_domain_outage(const struct edge *edge,
+			     const struct broken_request *request)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -159,82 +162,84 @@
 
 	g_hash_table_iter_init(&iter, edge->backends->by_id);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		count += ended_with(value, one);
-	return count >= DOMAIN_ENDS;
+		count += crashed_with(value, request);
+	return count >= DOMAIN_OUTAGE_SERVERS;
 }
 
 static void log_crash(const struct suspect *suspect,
-		      const struct request_break *one)
+		      const struct broken_request *request)
 {
 	log_event(LOG_WARNING, "crash-suspected",
 		  "fingerprint=%016" PRIx64
 		  " backend=%s crashes=%u rounds=%u request=%s",
-		  one->fingerprint, one->backend->id, suspect->crash_count,
-		  suspect->rounds, one->text);
+		  request->fingerprint, request->backend->id,
+		  suspect->crash_count, suspect->rounds, request->text);
 }
 
-static void report(struct edge *edge, const struct request_break *one)
+static void report_crash(struct edge *edge,
+			 const struct broken_request *request)
 {
 	const struct suspect_crash crash = {
-		.life = one->backend->life,
-		.at_us = one->at_us,
-		.ran_us = one->at_us - one->sent_us,
+		.life = request->backend->life,
+		.at_us = request->at_us,
+		.ran_us = request->at_us - request->sent_us,
 	};
 	const struct suspect *suspect;
 
-	if (domain_ended(edge, one)) {
+	if (is_domain_outage(edge, request)) {
 		log_event(LOG_DEBUG, "crash-with-domain",
 			  "fingerprint=%016" PRIx64 " backend=%s domain=%s",
-			  one->fingerprint, one->backend->id,
-			  one->backend->domain);
+			  request->fingerprint, request->backend->id,
+			  request->backend->domain);
 		return;
 	}
-	if (!suspect_crashed(edge->suspects, one->fingerprint, edge->backends,
-			     &crash, one->text))
+	if (!suspect_crashed(edge->suspects, request->fingerprint,
+			     edge->backends, &crash, request->text))
 		return;
-	suspect = suspect_table_find(edge->suspects, one->fingerprint);
-	log_crash(suspect, one);
+	suspect = suspect_table_find(edge->suspects, request->fingerprint);
+	log_crash(suspect, request);
 	if (edge->gossip)
 		gossip_tell_words(edge->gossip);
 	if (suspect->rounds && edge->quarantines)
-		quarantine_store_keep(edge->quarantines, one->fingerprint);
+		quarantine_store_keep(edge->quarantines, request->fingerprint);
 }
 
-static void forget(struct crash_watch *watch, uint32_t at)
+static void remove_request(struct crash_watch *watch, uint32_t at)
 {
-	backend_unref(watch->breaks[at].backend);
-	watch->breaks[at] = watch->breaks[--watch->count];
+	backend_unref(watch->requests[at].backend);
+	watch->requests[at] = watch->requests[--watch->count];
 }
 
 /* No other connection is left that could tell. */
-static void probe_once(struct crash_watch *watch, struct request_break *one)
+static void probe_once(struct crash_watch *watch,
+		       struct broken_request *request)
 {
 	uint32_t i;
 
-	if (one->probed || one->backend->connections)
+	if (request->probed || request->backend->connections)
 		return;
-	probe_begin(watch, one->backend);
+	probe_begin(watch, request->backend);
 	for (i = 0; i < watch->count; i++)
-		if (watch->breaks[i].backend == one->backend)
-			watch->breaks[i].probed = true;
+		if (watch->requests[i].backend == request->backend)
+			watch->requests[i].probed = true;
 }
 
-static void look(struct crash_watch *watch)
+static void check_requests(struct crash_watch *watch)
 {
 	struct edge *edge = watch->edge;
 	uint32_t i;
 
 	for (i = watch->count; i > 0; i--) {
-		struct request_break *one = &watch->breaks[i - 1];
-		enum verdict verdict = judge(one, edge_now_us(edge));
+		struct broken_request *request = &watch->requests[i - 1];
+		enum verdict verdict = decide(request, edge_now_us(edge));
 
-		if (verdict == VERDICT_OPEN) {
-			probe_once(watch, one);
+		if (verdict == VERDICT_UNDECIDED) {
+			probe_once(watch, request);
 			continue;
 		}
-		if (verdict == VERDICT_ENDED)
-			report(edge, one);
-		forget(watch, i - 1);
+		if (verdict == VERDICT_CRASHED)
+			report_crash(edge, request);
+		remove_request(watch, i - 1);
 	}
 }
 
@@ -242,33 +247,35 @@
 {
 	struct crash_watch *watch = timer->data;
 
-	look(watch);
-	drop_old_probes(watch, edge_now_us(watch->edge));
+	check_requests(watch);
+	drop_stalled_probes(watch, edge_now_us(watch->edge));
 	if (watch->count || watch->probes.length)
-		uv_timer_start(timer, on_timer, LOOK_US / US_PER_MS, 0);
+		uv_timer_start(timer, on_timer, CHECK_INTERVAL_US / US_PER_MS,
+			       0);
 }
 
-static void look_soon(struct crash_watch *watch)
+static void check_now(struct crash_watch *watch)
 {
 	if (watch->count)
 		uv_timer_start(&watch->timer, on_timer, 0, 0);
 }
 
-void crash_watch_broke(struct crash_watch *watch, struct backend *backend,
-		       uint64_t fingerprint, uint64_t sent_us, const char *text)
+void crash_watch_record_broken(struct crash_watch *watch,
+			       struct backend *backend, uint64_t fingerprint,
+			       uint64_t sent_us, const char *text)
 {
-	struct request_break *one;
+	struct broken_request *request;
 
-	if (watch->count == BREAKS_MOST)
+	if (watch->count == MAX_BROKEN_REQUESTS)
 		return;
-	one = &watch->breaks[watch->count++];
-	one->backend = backend_ref(backend);
-	one->fingerprint = fingerprint;
-	one->sent_us = sent_us;
-	one->at_us = edge_now_us(watch->edge);
-	one->probed = false;
-	g_strlcpy(one->text, text, sizeof(one->text));
-	uv_timer_start(&watch->timer, on_timer, FIRST_LOOK_US / US_PER_MS, 0);
+	request = &watch->requests[watch->count++];
+	request->backend = backend_ref(backend);
+	request->fingerprint = fingerprint;
+	request->sent_us = sent_us;
+	request->at_us = edge_now_us(watch->edge);
+	request->probed = false;
+	g_strlcpy(request->text, text, sizeof(request->text));
+	uv_timer_start(&watch->timer, on_timer, FIRST_CHECK_US / US_PER_MS, 0);
 }
 
 bool crash_watch_is_busy(const struct crash_watch *watch)
@@ -276,14 +283,15 @@
 	return watch->count > 0;
 }
 
-bool crash_watch_doubts(const struct crash_watch *watch, uint64_t fingerprint)
+bool crash_watch_is_checking(const struct crash_watch *watch,
+			     uint64_t fingerprint)
 {
 	uint64_t now_us = edge_now_us(watch->edge);
 	uint32_t i;
 
 	for (i = 0; i < watch->count; i++)
-		if (watch->breaks[i].fingerprint == fingerprint &&
-		    now_us - watch->breaks[i].at_us < CRASH_WATCH_SOON_US)
+		if (watch->requests[i].fingerprint == fingerprint &&
+		    now_us - watch->requests[i].at_us < CRASH_WATCH_CHECK_US)
 			return true;
 	return false;
 }
@@ -303,7 +311,7 @@
 void crash_watch_close(struct crash_watch *watch)
 {
 	while (watch->count)
-		forget(watch, watch->count - 1);
+		remove_request(watch, watch->count - 1);
 	while (watch->probes.length)
 		probe_end(g_queue_peek_head(&watch->probes));
 	watch->edge->crashes = NULL;
--- a/packages/edge/crash_watch.h
+++ b/packages/edge/crash_watch.h
@@ -19,7 +19,7 @@
 struct crash_watch;
 
 /* By when it is known of most servers whether they have ended. */
-#define CRASH_WATCH_SOON_US (4 * US_PER_MS)
+#define CRASH_WATCH_CHECK_US (4 * US_PER_MS)
 
 struct crash_watch *crash_watch_open(struct edge *edge);
 /* The memory may be freed once the loop has turned. */
@@ -29,15 +29,16 @@
  * A request that was sent at sent_us broke off at the server. text says which
  * request it is.
  */
-void crash_watch_broke(struct crash_watch *watch, struct backend *backend,
-		       uint64_t fingerprint, uint64_t sent_us,
-		       const char *text);
+void crash_watch_record_broken(struct crash_watch *watch,
+			       struct backend *backend, uint64_t fingerprint,
+			       uint64_t sent_us, const char *text);
 
 /* Whether any request that broke off isn't judged yet. */
 bool crash_watch_is_busy(const struct crash_watch *watch);
 
 /* Whether it broke off just now, and isn't judged yet. */
-bool crash_watch_doubts(const struct crash_watch *watch, uint64_t fingerprint);
+bool crash_watch_is_checking(const struct crash_watch *watch,
+			     uint64_t fingerprint);
 
 #ifdef __cplusplus
 }
--- a/packages/edge/edge.c
+++ b/packages/edge/edge.c
@@ -4,7 +4,7 @@
 #include <string.h>
 
 /* Idle connections that are kept to each backend server. */
-#define IDLE_MOST 4
+#define MAX_IDLE 4
 
 static void refusal_free(gpointer data)
 {
@@ -52,7 +52,7 @@
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	edge->refusals = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 					       refusal_free);
-	pool_init(&edge->pool, loop, clock, &answers, IDLE_MOST);
+	pool_init(&edge->pool, loop, clock, &answers, MAX_IDLE);
 	g_queue_init(&edge->callers);
 }
 
@@ -74,8 +74,8 @@
 	return edge->routes && edge->backends->whole && !edge->stopping;
 }
 
-void edge_note_refusal(struct edge *edge, const char *cause, uint16_t status,
-		       const char *request_id)
+void edge_record_refusal(struct edge *edge, const char *cause, uint16_t status,
+			 const char *request_id)
 {
 	struct refusal *refusal = g_hash_table_lookup(edge->refusals, cause);
 
@@ -87,7 +87,8 @@
 	refusal->status = status;
 	refusal->count++;
 	refusal->last_us = edge_now_us(edge);
-	g_strlcpy(refusal->last_id, request_id, sizeof(refusal->last_id));
+	g_strlcpy(refusal->last_request_id, request_id,
+		  sizeof(refusal->last_request_id));
 }
 
 struct extra_budget *edge_budget(struct edge *edge, const char *service)
--- a/packages/edge/edge.h
+++ b/packages/edge/edge.h
@@ -41,7 +41,7 @@
  * what is read may have waited in the kernel for over a tenth of a second. A
  * server must not get a request half a second after its caller has left.
  */
-#define EDGE_LATE_US (300 * 1000ull)
+#define EDGE_STALE_PAUSE_US (300 * 1000ull)
 
 /* Answers of the node's own with one cause. */
 struct refusal {
@@ -49,7 +49,7 @@
 	uint16_t status; /* of the latest */
 	uint64_t count;
 	uint64_t last_us;
-	char last_id[ID_SIZE]; /* the latest request's */
+	char last_request_id[ID_SIZE]; /* the latest request's */
 };
 
 struct edge {
@@ -75,15 +75,15 @@
 	struct stats stats;
 
 	uint64_t began_us; /* when this life of the node began */
-	bool are_limited; /* some backend server may have named a rate */
-	uint32_t rates_told; /* servers' rates told in this round of beats */
+	bool any_rate_limited; /* some backend server may have named a rate */
+	uint32_t rates_sent; /* servers' rates told in this round of beats */
 	bool stopping;
 	uint64_t stopping_us; /* when the stop began */
 	uint32_t exchanges; /* requests in flight */
 	GQueue callers; /* of struct caller, connections that are open */
-	uint64_t swept_us; /* when their time-outs were last looked at */
-	uint64_t late_until_us; /* after a standstill: what is read is old */
-	uint64_t stood_since_us; /* when that standstill began, or before */
+	uint64_t last_sweep_us; /* when their time-outs were last looked at */
+	uint64_t stale_until_us; /* after a standstill: what is read is old */
+	uint64_t pause_began_us; /* when that standstill began, or before */
 };
 
 static inline uint64_t edge_now_us(const struct edge *edge)
@@ -96,23 +96,23 @@
  * process that is suspended while it waits for its sockets reads them before
  * its timers run: then the last sweep tells, which is overdue.
  */
-static inline bool edge_is_late(const struct edge *edge)
+static inline bool edge_reads_may_be_stale(const struct edge *edge)
 {
 	uint64_t now_us = edge_now_us(edge);
 
-	return now_us < edge->late_until_us ||
-	       now_us - edge->swept_us >= EDGE_LATE_US;
+	return now_us < edge->stale_until_us ||
+	       now_us - edge->last_sweep_us >= EDGE_STALE_PAUSE_US;
 }
 
 /* When what is read now had come at the earliest. */
-static inline uint64_t edge_came_by_us(const struct edge *edge)
+static inline uint64_t edge_earliest_arrival_us(const struct edge *edge)
 {
 	uint64_t now_us = edge_now_us(edge);
 
-	if (!edge_is_late(edge))
+	if (!edge_reads_may_be_stale(edge))
 		return now_us;
-	return now_us < edge->late_until_us ? edge->stood_since_us :
-					      edge->swept_us;
+	return now_us < edge->stale_until_us ? edge->pause_began_us :
+					       edge->last_sweep_us;
 }
 
 /* Make and free the tables; the loop's handles are not among them. */
@@ -125,8 +125,8 @@
 bool edge_is_ready(const struct edge *edge);
 
 /* Account an answer of the node's own, for operators. */
-void edge_note_refusal(struct edge *edge, const char *cause, uint16_t status,
-		       const char *request_id);
+void edge_record_refusal(struct edge *edge, const char *cause, uint16_t status,
+			 const char *request_id);
 
 struct extra_budget *edge_budget(struct edge *edge, const char *service);
 bool edge_take_extra(struct edge *edge, const char *service);
--- a/packages/edge/exchange.c
+++ b/packages/edge/exchange.c
@@ -244,7 +244,7 @@
 	if (rate_limit_may_ask(&wanted->limit, now_us)) {
 		if (!is_first && way_us)
 			return false;
-		if (!server_limits_ask(exchange->edge, wanted, way_us))
+		if (!server_limits_borrow(exchange->edge, wanted, way_us))
 			return false;
 	} else if (is_first) {
 		rate_limit_miss(&wanted->limit);
@@ -382,7 +382,7 @@
 	if (!again)
 		end_failed(exchange, outcome, cause);
 	else if (outcome == SEND_BROKEN)
-		hold_for(exchange, CRASH_WATCH_SOON_US);
+		hold_for(exchange, CRASH_WATCH_CHECK_US);
 	else
 		dispatch(exchange);
 }
@@ -543,8 +543,9 @@
 	/* A 421 is another server's, which has the address now. */
 	if (answer->status != 421) {
 		backend_answered(exchange->choice.backend, exchange->sent_us);
-		server_limits_heard(exchange->edge, exchange->choice.backend,
-				    answer, exchange->sent_us);
+		server_limits_apply_answer(exchange->edge,
+					   exchange->choice.backend, answer,
+					   exchange->sent_us);
 	}
 	if (!says_not_executed(exchange, answer))
 		exchange_was_run(exchange);
--- a/packages/edge/exchange_end.c
+++ b/packages/edge/exchange_end.c
@@ -114,7 +114,7 @@
 	g_string_append(headers, "Content-Type: text/plain\r\n");
 	g_byte_array_append(body, (const guint8 *)cause, strlen(cause));
 	g_byte_array_append(body, (const guint8 *)"\n", 1);
-	edge_note_refusal(edge, cause, status, exchange->id);
+	edge_record_refusal(edge, cause, status, exchange->id);
 	log_event(LOG_INFO, "own-answer",
 		  "request=%s status=%u cause=%s unsettled=%u %s", exchange->id,
 		  status, cause, exchange->unsettled, belief);
--- a/packages/edge/exchange_suspect.c
+++ b/packages/edge/exchange_suspect.c
@@ -111,12 +111,12 @@
 	const struct crash_watch *watch = exchange->edge->crashes;
 
 	return watch && crash_watch_is_busy(watch) &&
-	       crash_watch_doubts(watch, fingerprint(exchange));
+	       crash_watch_is_checking(watch, fingerprint(exchange));
 }
 
 static enum exchange_leave wait_for_watch(struct exchange *exchange)
 {
-	exchange->choice.hold_us = CRASH_WATCH_SOON_US;
+	exchange->choice.hold_us = CRASH_WATCH_CHECK_US;
 	return EXCHANGE_WAIT;
 }
 
@@ -245,7 +245,8 @@
 	text = g_strdup_printf("%s %s",
 			       http_method_str(exchange->request->method),
 			       exchange->request->target->str);
-	crash_watch_broke(edge->crashes, exchange->choice.backend,
-			  fingerprint(exchange), exchange->sent_us, text);
+	crash_watch_record_broken(edge->crashes, exchange->choice.backend,
+				  fingerprint(exchange), exchange->sent_us,
+				  text);
 	g_free(text);
 }
--- a/packages/edge/gossip_words.c
+++ b/packages/edge/gossip_words.c
@@ -34,11 +34,12 @@
 	beat.suspect_count = suspect_urgent_words(
 		edge->suspects, edge->members->self->hash, edge_now_us(edge),
 		beat.suspects, BEAT_MAX_SUSPECTS);
-	beat.rate_count =
-		server_limits_urgent_words(edge, beat.rates, BEAT_MAX_RATES);
+	beat.rate_count = server_limits_broadcast_updates(edge, beat.rates,
+							  BEAT_MAX_RATES);
 	if (beat.suspect_count || beat.rate_count)
 		gossip_send_to_all(gossip, &beat);
-	if (suspect_is_urgent(edge->suspects) || server_limits_are_urgent(edge))
+	if (suspect_is_urgent(edge->suspects) ||
+	    server_limits_have_broadcast(edge))
 		uv_timer_start(timer, on_word_timer, AGAIN_US / US_PER_MS, 0);
 }
 
@@ -76,8 +77,8 @@
 					   edge->members->self->hash, now_us,
 					   beat.suspects, WORDS_A_BEAT);
 	if (gossip->rounds % RATES_EVERY == 0)
-		beat.rate_count =
-			server_limits_words(edge, beat.rates, RATES_A_BEAT);
+		beat.rate_count = server_limits_heartbeat_updates(
+			edge, beat.rates, RATES_A_BEAT);
 	if (beat.suspect_count || beat.rate_count)
 		gossip_send_to_some(gossip, &beat);
 }
@@ -102,8 +103,8 @@
 					    edge->members->self->hash,
 					    edge_now_us(edge), words.suspects,
 					    BEAT_MAX_SUSPECTS);
-	words.rate_count =
-		server_limits_words(edge, words.rates, BEAT_MAX_RATES);
+	words.rate_count = server_limits_heartbeat_updates(edge, words.rates,
+							   BEAT_MAX_RATES);
 	if (words.suspect_count || words.rate_count)
 		gossip_send_to_one(gossip, member, &words);
 }
@@ -133,8 +134,9 @@
 		return;
 	gossip_sign(gossip, &answers);
 	for (i = 0; i < beat->token_count; i++)
-		if (server_limits_token(edge, from, &beat->tokens[i],
-					&answers.tokens[answers.token_count]))
+		if (server_limits_handle_token(
+			    edge, from, &beat->tokens[i],
+			    &answers.tokens[answers.token_count]))
 			answers.token_count++;
 	if (answers.token_count)
 		gossip_send_to_one(gossip, from, &answers);
@@ -167,7 +169,7 @@
 	tell_starting(gossip, beat);
 	take_tokens(gossip, beat);
 	for (i = 0; i < beat->rate_count; i++)
-		if (!server_limits_take(edge, &beat->rates[i]))
+		if (!server_limits_apply_update(edge, &beat->rates[i]))
 			metric_add(edge->stats.words_rejected, 1);
 	for (i = 0; i < beat->suspect_count; i++) {
 		const struct suspect_word *word = &beat->suspects[i];
--- a/packages/edge/message.c
+++ b/packages/edge/message.c
@@ -64,7 +64,7 @@
 	return NULL;
 }
 
-uint32_t message_count(const struct message *message, const char *name)
+uint32_t message_count_headers(const struct message *message, const char *name)
 {
 	uint32_t count = 0;
 	guint i;
@@ -147,20 +147,20 @@
 
 static bool has_token(const char *list, const char *token)
 {
-	char **parts = g_strsplit(list, ",", -1);
+	char **items = g_strsplit(list, ",", -1);
 	bool found = false;
 	int i;
 
-	for (i = 0; parts[i] && !found; i++)
-		found = !g_ascii_strcasecmp(g_strstrip(parts[i]), token);
-	g_strfreev(parts);
+	for (i = 0; items[i] && !found; i++)
+		found = !g_ascii_strcasecmp(g_strstrip(items[i]), token);
+	g_strfreev(items);
 	return found;
 }
 
-static bool framing_is_clear(const struct message *message)
+static bool framing_is_unambiguous(const struct message *message)
 {
-	return message_count(message, "Content-Length") <= 1 &&
-	       message_count(message, "Transfer-Encoding") <= 1 &&
+	return message_count_headers(message, "Content-Length") <= 1 &&
+	       message_count_headers(message, "Transfer-Encoding") <= 1 &&
 	       !(message_header(message, "Content-Length") &&
 		 message_header(message, "Transfer-Encoding"));
 }
@@ -180,7 +180,7 @@
 	const char *expect;
 
 	end_value(reader);
-	if (!framing_is_clear(message))
+	if (!framing_is_unambiguous(message))
 		return stop(reader, MESSAGE_MALFORMED);
 	message->status = (uint16_t)parser->status_code;
 	message->method = (uint8_t)parser->method;
@@ -206,7 +206,7 @@
 	return 0;
 }
 
-static int on_whole(http_parser *parser)
+static int on_complete(http_parser *parser)
 {
 	struct message_reader *reader = parser->data;
 	struct message *message = reader->message;
@@ -224,7 +224,7 @@
 	.on_header_value = on_value,
 	.on_headers_complete = on_head,
 	.on_body = on_body,
-	.on_message_complete = on_whole,
+	.on_message_complete = on_complete,
 };
 
 void message_reader_init(struct message_reader *reader,
@@ -314,14 +314,14 @@
 }
 
 void message_copy_headers(const struct message *message,
-			  const char *const *without, GString *out)
+			  const char *const *excluded, GString *out)
 {
 	guint i;
 
 	for (i = 0; i < message->headers->len; i++) {
 		const char *name = name_at(message, i);
 
-		if (is_hop_header(message, name) || is_listed(name, without))
+		if (is_hop_header(message, name) || is_listed(name, excluded))
 			continue;
 		g_string_append_printf(out, "%s: %s\r\n", name,
 				       value_at(message, i));
--- a/packages/edge/message.h
+++ b/packages/edge/message.h
@@ -69,7 +69,7 @@
 
 /* Value of the first header of this name, or NULL. */
 const char *message_header(const struct message *message, const char *name);
-uint32_t message_count(const struct message *message, const char *name);
+uint32_t message_count_headers(const struct message *message, const char *name);
 
 /* Begin to read requests, or answers. Release frees what was begun. */
 void message_reader_init(struct message_reader *reader,
@@ -94,7 +94,7 @@
 
 /* Append the headers that concern more than one connection, but not these. */
 void message_copy_headers(const struct message *message,
-			  const char *const *without, GString *out);
+			  const char *const *excluded, GString *out);
 
 #ifdef __cplusplus
 }
--- a/packages/edge/run.c
+++ b/packages/edge/run.c
@@ -21,19 +21,19 @@
  * How often the settings file is read for a change that no signal told of, and
  * members are looked at for ones that are lost.
  */
-#define SETTINGS_EVERY_US (2 * US_PER_S)
+#define SETTINGS_POLL_US (2 * US_PER_S)
 
 /*
  * A tick so late means that the machine stood still: connections may be dead
  * and what is known is old.
  */
-#define SUSPENDED_US (1500 * US_PER_MS)
+#define SUSPENDED_MIN_US (1500 * US_PER_MS)
 
 /*
  * A stop in steps. Callers keep look-ups for a while, up to three times as long
  * as told, so requests are taken for that time; what is in flight then ends.
  */
-#define STOP_LOOKUPS 3
+#define STOP_LOOKUP_PERIODS 3
 
 /* Kept back of the time for a stop, to end by ourselves. */
 #define STOP_MARGIN_US (300 * US_PER_MS)
@@ -49,8 +49,8 @@
 	uv_signal_t signals[3];
 	uv_timer_t tick;
 	const char *settings_path;
-	uint64_t tick_us; /* of the last tick */
-	uint64_t settings_us; /* when the settings file was last read */
+	uint64_t last_tick_us; /* of the last tick */
+	uint64_t settings_read_us; /* when the settings file was last read */
 	bool front_closed;
 	bool was_ready;
 };
@@ -62,7 +62,7 @@
 	return a->port == b->port && !strcmp(a->address, b->address);
 }
 
-static void redirect(struct run *run)
+static void set_registry(struct run *run)
 {
 	const struct endpoint *to = &run->edge.settings.registry;
 
@@ -70,7 +70,7 @@
 	quarantine_store_redirect(run->edge.quarantines, to);
 }
 
-static void take_settings(struct run *run, struct edge_settings *fresh)
+static void apply_settings(struct run *run, struct edge_settings *fresh)
 {
 	struct edge_settings *current = &run->edge.settings;
 	bool moved = !same_endpoint(&current->registry, &fresh->registry);
@@ -84,7 +84,7 @@
 	current->stop_most_us = fresh->stop_most_us;
 	current->registry = fresh->registry;
 	if (moved)
-		redirect(run);
+		set_registry(run);
 	log_event(LOG_DEBUG, "settings", "registry=%s:%u moved=%s",
 		  current->registry.address, current->registry.port,
 		  moved ? "yes" : "no");
@@ -96,20 +96,20 @@
 	struct edge_settings fresh;
 	GError *error = NULL;
 
-	run->settings_us = edge_now_us(&run->edge);
+	run->settings_read_us = edge_now_us(&run->edge);
 	if (!edge_settings_load(&fresh, run->settings_path, &error)) {
 		log_event(LOG_ERROR, "settings-refused", "cause=%s",
 			  error->message);
 		g_error_free(error);
 		return;
 	}
-	take_settings(run, &fresh);
+	apply_settings(run, &fresh);
 	edge_settings_release(&fresh);
 }
 
 /* --- stopping ----------------------------------------------------------- */
 
-static void close_all(struct run *run)
+static void finish_stop(struct run *run)
 {
 	uint32_t i;
 
@@ -137,14 +137,15 @@
  * tick, they ended without an answer. So closing waits for a tick that isn't
  * late, unless the time for the stop is over.
  */
-static void go_on_stopping(struct run *run)
+static void continue_stop(struct run *run)
 {
 	struct edge *edge = &run->edge;
 	uint64_t passed_us = edge_now_us(edge) - edge->stopping_us;
-	uint64_t taking_us = STOP_LOOKUPS * edge->settings.lookup_keep_us;
+	uint64_t accept_us =
+		STOP_LOOKUP_PERIODS * edge->settings.lookup_keep_us;
 
-	taking_us = MIN(taking_us, edge->settings.stop_most_us / 2);
-	if (passed_us < taking_us)
+	accept_us = MIN(accept_us, edge->settings.stop_most_us / 2);
+	if (passed_us < accept_us)
 		return;
 	if (callers_are_unread(edge) &&
 	    passed_us + STOP_MARGIN_US <= edge->settings.stop_most_us)
@@ -154,15 +155,15 @@
 		listener_close(&run->listeners[AT_FRONT]);
 	}
 	callers_close_idle(edge);
-	if (!callers_are_waiting(edge) && passed_us > taking_us + TICK_US) {
+	if (!callers_are_waiting(edge) && passed_us > accept_us + TICK_US) {
 		log_event(LOG_INFO, "stop-ends", "whole=yes took_us=%" PRIu64,
 			  passed_us);
-		close_all(run);
+		finish_stop(run);
 	} else if (passed_us + STOP_MARGIN_US > edge->settings.stop_most_us) {
 		log_event(LOG_WARNING, "stop-ends",
 			  "whole=no in_flight=%u took_us=%" PRIu64,
 			  edge->exchanges, passed_us);
-		close_all(run);
+		finish_stop(run);
 	}
 }
 
@@ -185,14 +186,14 @@
  * What was known before a suspension is old: servers have left, connections
  * were dropped. Kept connections go, and the tables are asked for at once.
  */
-static void after_suspension(struct run *run, uint64_t stood_us)
+static void recover_from_suspension(struct run *run, uint64_t suspended_us)
 {
-	log_event(LOG_WARNING, "suspended", "stood_us=%" PRIu64, stood_us);
+	log_event(LOG_WARNING, "suspended", "stood_us=%" PRIu64, suspended_us);
 	pool_drop_idle(&run->edge.pool);
 	sync_refresh(run->sync);
 }
 
-static void note_readiness(struct run *run)
+static void update_readiness(struct run *run)
 {
 	bool ready = edge_is_ready(&run->edge);
 
@@ -211,23 +212,23 @@
 	struct run *run = timer->data;
 	struct edge *edge = &run->edge;
 	uint64_t now_us = edge_now_us(edge);
-	uint64_t passed_us = now_us - run->tick_us;
+	uint64_t passed_us = now_us - run->last_tick_us;
 
-	run->tick_us = now_us;
-	if (passed_us > SUSPENDED_US)
-		after_suspension(run, passed_us);
+	run->last_tick_us = now_us;
+	if (passed_us > SUSPENDED_MIN_US)
+		recover_from_suspension(run, passed_us);
 	backend_table_expire(edge->backends, now_us);
 	gossip_tell_changes(run->gossip);
-	server_limits_share(edge);
+	server_limits_update_quotas(edge);
 	callers_sweep(edge);
 	pool_sweep(&edge->pool, edge->backends);
-	note_readiness(run);
-	if (now_us - run->settings_us > SETTINGS_EVERY_US) {
+	update_readiness(run);
+	if (now_us - run->settings_read_us > SETTINGS_POLL_US) {
 		reload_settings(run);
 		sync_strike_lost(run->sync);
 	}
 	if (edge->stopping)
-		go_on_stopping(run);
+		continue_stop(run);
 }
 
 /* --- start -------------------------------------------------------------- */
@@ -272,8 +273,8 @@
 {
 	uv_timer_init(&run->loop, &run->tick);
 	run->tick.data = run;
-	run->tick_us = edge_now_us(&run->edge);
-	run->settings_us = run->tick_us;
+	run->last_tick_us = edge_now_us(&run->edge);
+	run->settings_read_us = run->last_tick_us;
 	uv_timer_start(&run->tick, on_tick, TICK_US / US_PER_MS,
 		       TICK_US / US_PER_MS);
 }
--- a/packages/edge/server_limits.c
+++ b/packages/edge/server_limits.c
@@ -8,40 +8,40 @@
  * A node that starts may displace another as a sender, which hears of it within
  * two seconds; until then both would use the part.
  */
-#define SENDER_WAIT_US (5 * US_PER_S)
+#define QUOTA_DELAY_US (5 * US_PER_S)
 
 /* Times that a rate is told to all nodes at once, for a datagram may be lost.
  */
-#define URGENT_TELLS 2
+#define BROADCAST_COUNT 2
 
 /* Between two times that a server's rate is told to all nodes at once. */
-#define URGENT_SPACING_US (200 * US_PER_MS)
+#define BROADCAST_INTERVAL_US (200 * US_PER_MS)
 
-static double part_of(const struct edge *edge, const struct backend *backend)
+static double quota_of(const struct edge *edge, const struct backend *backend)
 {
 	uint64_t now_us = edge_now_us(edge);
 	double per_s = rate_limit_in_force(&backend->limit, now_us);
 
-	if (per_s == 0 || now_us - edge->began_us < SENDER_WAIT_US)
+	if (per_s == 0 || now_us - edge->began_us < QUOTA_DELAY_US)
 		return 0;
 	return rate_limit_part(edge->members, backend->region, backend->hash,
 			       per_s);
 }
 
-static void share(struct edge *edge, struct backend *backend)
+static void update_quota(struct edge *edge, struct backend *backend)
 {
-	rate_limit_share(&backend->limit, part_of(edge, backend),
+	rate_limit_share(&backend->limit, quota_of(edge, backend),
 			 edge_now_us(edge));
 }
 
-void server_limits_share(struct edge *edge)
+void server_limits_update_quotas(struct edge *edge)
 {
 	uint64_t now_us = edge_now_us(edge);
-	bool are_limited = false;
+	bool any_limited = false;
 	GHashTableIter iter;
 	gpointer value;
 
-	if (!edge->are_limited)
+	if (!edge->any_rate_limited)
 		return;
 	g_hash_table_iter_init(&iter, edge->backends->by_id);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
@@ -50,31 +50,31 @@
 			rate_limit_is_limited(&backend->limit, now_us);
 
 		if (is_limited)
-			share(edge, backend);
+			update_quota(edge, backend);
 		if (is_limited || backend->limit.urgent)
-			are_limited = true;
+			any_limited = true;
 	}
-	edge->are_limited = are_limited;
+	edge->any_rate_limited = any_limited;
 }
 
-static void note_change(struct edge *edge, struct backend *backend,
-			const char *by)
+static void record_change(struct edge *edge, struct backend *backend,
+			  const char *by)
 {
-	edge->are_limited = true;
-	share(edge, backend);
+	edge->any_rate_limited = true;
+	update_quota(edge, backend);
 	log_event(LOG_INFO, "backend-limit",
 		  "backend=%s per_s=%g part_per_s=%g by=%s", backend->id,
 		  backend->limit.per_s, backend->limit.part_per_s, by);
 }
 
-void server_limits_heard(struct edge *edge, struct backend *backend,
-			 const struct message *answer, uint64_t sent_us)
+void server_limits_apply_answer(struct edge *edge, struct backend *backend,
+				const struct message *answer, uint64_t sent_us)
 {
 	const char *name = edge->dialect->rate_limit;
 	const char *text = message_header(answer, name);
 	double per_s = 0;
 
-	if (text && (message_count(answer, name) > 1 ||
+	if (text && (message_count_headers(answer, name) > 1 ||
 		     !rate_limit_parse(text, &per_s))) {
 		if (!backend->limit.rejected++)
 			log_event(LOG_WARNING, "backend-limit-refused",
@@ -84,59 +84,62 @@
 	if (!rate_limit_heard(&backend->limit, per_s, sent_us,
 			      edge_now_us(edge)))
 		return;
-	note_change(edge, backend, "answer");
-	backend->limit.urgent = URGENT_TELLS;
+	record_change(edge, backend, "answer");
+	backend->limit.urgent = BROADCAST_COUNT;
 	if (edge->gossip)
 		gossip_tell_words(edge->gossip);
 }
 
-bool server_limits_take(struct edge *edge, const struct rate_word *word)
+bool server_limits_apply_update(struct edge *edge,
+				const struct rate_word *update)
 {
 	struct backend *backend =
-		backend_table_find_life(edge->backends, word->life);
+		backend_table_find_life(edge->backends, update->life);
 	uint64_t now_us = edge_now_us(edge);
 
-	if (!rate_limit_is_sane(word))
+	if (!rate_limit_is_sane(update))
 		return false;
 	if (backend &&
-	    rate_limit_told(&backend->limit, word->per_s,
-			    now_us - MIN(now_us, word->age_us), now_us))
-		note_change(edge, backend, "word");
+	    rate_limit_told(&backend->limit, update->per_s,
+			    now_us - MIN(now_us, update->age_us), now_us))
+		record_change(edge, backend, "word");
 	return true;
 }
 
 /* One of the senders, for so many tokens, unless it is asked already. */
-static void ask_one(struct edge *edge, struct backend *backend, uint32_t tokens)
+static void borrow_from_one(struct edge *edge, struct backend *backend,
+			    uint32_t tokens)
 {
-	const struct member *sender = rate_limit_sender(
+	const struct member *holder = rate_limit_sender(
 		&backend->limit, edge->members, backend->region, backend->hash,
 		g_random_double(), edge_now_us(edge));
 
-	if (sender && rate_limit_ask(&backend->limit, sender->hash))
-		gossip_ask_tokens(edge->gossip, sender, backend->life, tokens);
+	if (holder && rate_limit_ask(&backend->limit, holder->hash))
+		gossip_ask_tokens(edge->gossip, holder, backend->life, tokens);
 }
 
-bool server_limits_ask(struct edge *edge, struct backend *backend,
-		       uint64_t way_us)
+bool server_limits_borrow(struct edge *edge, struct backend *backend,
+			  uint64_t round_trip_us)
 {
 	uint32_t tokens;
-	uint32_t senders;
+	uint32_t holders;
 	uint32_t i;
 
 	if (!edge->gossip)
 		return false;
-	tokens = rate_limit_begin_asking(&backend->limit, way_us,
+	tokens = rate_limit_begin_asking(&backend->limit, round_trip_us,
 					 edge_now_us(edge));
 	/* A second question would cost the way once more. */
-	senders = way_us ? MIN(tokens, RATE_LIMIT_ASKS_MOST) : 1;
-	for (i = 0; i < senders; i++)
-		ask_one(edge, backend, (tokens + senders - 1) / senders);
+	holders = round_trip_us ? MIN(tokens, RATE_LIMIT_ASKS_MOST) : 1;
+	for (i = 0; i < holders; i++)
+		borrow_from_one(edge, backend,
+				(tokens + holders - 1) / holders);
 	return backend->limit.asked_count > 0;
 }
 
-bool server_limits_token(struct edge *edge, const struct member *from,
-			 const struct beat_token *token,
-			 struct beat_token *answer)
+bool server_limits_handle_token(struct edge *edge, const struct member *from,
+				const struct beat_token *token,
+				struct beat_token *answer)
 {
 	struct backend *backend =
 		backend_table_find_life(edge->backends, token->life);
@@ -158,66 +161,70 @@
 	return true;
 }
 
-static void fill_word(const struct edge *edge, const struct backend *backend,
-		      struct rate_word *word)
+static void fill_update(const struct edge *edge, const struct backend *backend,
+			struct rate_word *update)
 {
-	word->life = backend->life;
-	word->per_s = backend->limit.per_s;
-	word->age_us = edge_now_us(edge) - backend->limit.named_us;
+	update->life = backend->life;
+	update->per_s = backend->limit.per_s;
+	update->age_us = edge_now_us(edge) - backend->limit.named_us;
 }
 
-uint32_t server_limits_urgent_words(struct edge *edge, struct rate_word *words,
-				    uint32_t most)
+uint32_t server_limits_broadcast_updates(struct edge *edge,
+					 struct rate_word *updates,
+					 uint32_t max_count)
 {
 	uint64_t now_us = edge_now_us(edge);
 	GHashTableIter iter;
 	uint32_t count = 0;
 	gpointer value;
 
-	if (!edge->are_limited)
+	if (!edge->any_rate_limited)
 		return 0;
 	g_hash_table_iter_init(&iter, edge->backends->by_id);
-	while (count < most && g_hash_table_iter_next(&iter, NULL, &value)) {
+	while (count < max_count &&
+	       g_hash_table_iter_next(&iter, NULL, &value)) {
 		struct backend *backend = value;
 
 		if (!backend->limit.urgent ||
-		    now_us - backend->limit.told_us < URGENT_SPACING_US)
+		    now_us - backend->limit.told_us < BROADCAST_INTERVAL_US)
 			continue;
 		backend->limit.urgent--;
 		backend->limit.told_us = now_us;
-		fill_word(edge, backend, &words[count++]);
+		fill_update(edge, backend, &updates[count++]);
 	}
 	return count;
 }
 
 /* Those that were passed over this time are told the next time. */
-uint32_t server_limits_words(struct edge *edge, struct rate_word *words,
-			     uint32_t most)
+uint32_t server_limits_heartbeat_updates(struct edge *edge,
+					 struct rate_word *updates,
+					 uint32_t max_count)
 {
 	uint32_t seen = 0;
 	uint32_t count = 0;
 	GHashTableIter iter;
 	gpointer value;
 
-	if (!edge->are_limited)
+	if (!edge->any_rate_limited)
 		return 0;
 	g_hash_table_iter_init(&iter, edge->backends->by_id);
-	while (count < most && g_hash_table_iter_next(&iter, NULL, &value)) {
+	while (count < max_count &&
+	       g_hash_table_iter_next(&iter, NULL, &value)) {
 		const struct backend *backend = value;
 
-		if (backend->limit.per_s && seen++ >= edge->rates_told)
-			fill_word(edge, backend, &words[count++]);
+		if (backend->limit.per_s && seen++ >= edge->rates_sent)
+			fill_update(edge, backend, &updates[count++]);
 	}
-	edge->rates_told = count == most ? edge->rates_told + count : 0;
+	edge->rates_sent = count == max_count ? edge->rates_sent + count : 0;
 	return count;
 }
 
-bool server_limits_are_urgent(const struct edge *edge)
+bool server_limits_have_broadcast(const struct edge *edge)
 {
 	GHashTableIter iter;
 	gpointer value;
 
-	if (!edge->are_limited)
+	if (!edge->any_rate_limited)
 		return false;
 	g_hash_table_iter_init(&iter, edge->backends->by_id);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
--- a/packages/edge/sync_answer.c
+++ b/packages/edge/sync_answer.c
@@ -127,7 +127,7 @@
  */
 static uint64_t answered_by_us(const struct follower *follower)
 {
-	uint64_t came_us = edge_came_by_us(follower->sync->edge);
+	uint64_t came_us = edge_earliest_arrival_us(follower->sync->edge);
 	uint64_t passed_us = lane_arrival_us(&follower->lane) + UNDER_WAY_US;
 
 	return MAX(follower->called_us, came_us - MIN(came_us, passed_us));
--- a/tests/core/rate_limit_test.cc
+++ b/tests/core/rate_limit_test.cc
@@ -571,7 +571,7 @@
 }
 
 /* Where there is demand the rate is used, though few nodes are senders. */
-TEST_P(RateFleetTest, TheRateIsUsed)
+TEST_P(RateFleetTest, RateIsFullyUsed)
 {
 	if (GetParam().per_s < 2)
 		GTEST_SKIP() << "a burst is as much as the rate";
--- a/tests/edge/admin_test.cc
+++ b/tests/edge/admin_test.cc
@@ -92,7 +92,7 @@
 	const char *sentence;
 	int status;
 	int result;
-	const char *says; /* part of the message */
+	const char *message_part; /* part of the message */
 };
 
 const sentence_case sentence_cases[] = {
@@ -135,7 +135,8 @@
 	ask(c.sentence);
 	EXPECT_EQ(c.status, status) << message();
 	EXPECT_EQ(c.result, result());
-	EXPECT_NE(std::string::npos, message().find(c.says)) << message();
+	EXPECT_NE(std::string::npos, message().find(c.message_part))
+		<< message();
 }
 
 INSTANTIATE_TEST_SUITE_P(Cases, SentenceTest,
@@ -144,26 +145,26 @@
 
 TEST_F(AdminTest, SuspectsAreQuarantinedListedAndReleased)
 {
-	const std::string print = "00000000000000ff";
+	const std::string fingerprint = "00000000000000ff";
 
-	ask("quarantine " + print);
+	ask("quarantine " + fingerprint);
 	ask("show suspects");
-	json_t *listed = row("fingerprint", print);
+	json_t *listed = row("fingerprint", fingerprint);
 	ASSERT_NE(nullptr, listed);
 	EXPECT_EQ("quarantined", text(listed, "state"));
-	ask("release " + print);
+	ask("release " + fingerprint);
 	ask("show suspects");
-	EXPECT_EQ("cleared", text(row("fingerprint", print), "state"));
+	EXPECT_EQ("cleared", text(row("fingerprint", fingerprint), "state"));
 }
 
 /* A server that named a rate, and what part of it is this node's. */
-TEST_F(AdminTest, LimitsAreListedWithTheNodesPart)
+TEST_F(AdminTest, LimitsAreListedWithTheNodesQuota)
 {
 	struct backend *backend = backend_table_find(edge->backends, "i-1");
-	const struct rate_word word = { backend->life, 1.5, 0 };
+	const struct rate_word update = { backend->life, 1.5, 0 };
 
 	edge->began_us = 0;
-	ASSERT_TRUE(server_limits_take(edge, &word));
+	ASSERT_TRUE(server_limits_apply_update(edge, &update));
 	ask("show limits");
 	json_t *listed = row("backend", "i-1");
 	ASSERT_NE(nullptr, listed);
@@ -174,28 +175,28 @@
 }
 
 /* Where a request goes, as told, is where the next one does go. */
-TEST_F(AdminTest, WhereTellsWhatTheNextChoiceDoes)
+TEST_F(AdminTest, WhereMatchesTheNextChoice)
 {
 	ask("where s from d1 object 7");
 	json_t *rows = json_object_get(answer, "rows");
-	std::string told;
+	std::string predicted;
 	json_t *one;
 	size_t i;
 
 	json_array_foreach (rows, i, one)
 		if (text(one, "rule") == "near-best")
-			told = text(one, "backend");
+			predicted = text(one, "backend");
 	std::string got = answer_to(get("a1", "/r/"));
-	EXPECT_NE(std::string::npos, got.find("by " + told + " run 1"))
-		<< told << got;
+	EXPECT_NE(std::string::npos, got.find("by " + predicted + " run 1"))
+		<< predicted << got;
 	/* It is warm for the object now, and no other is. */
 	ask("where s from d1 object 7");
-	EXPECT_TRUE(
-		json_is_true(json_object_get(row("backend", told), "warm")));
+	EXPECT_TRUE(json_is_true(
+		json_object_get(row("backend", predicted), "warm")));
 }
 
 /* Asking claims nothing: the same question has the same answer. */
-TEST_F(AdminTest, AskingChangesNothing)
+TEST_F(AdminTest, QueriesChangeNothing)
 {
 	std::string first = text(
 		json_array_get(json_object_get(ask("where s from d1 object 9"),
@@ -212,7 +213,7 @@
 }
 
 /* Why a server gets nothing stands in its row. */
-TEST_F(AdminTest, WhatKeepsAServerOutIsNamed)
+TEST_F(AdminTest, ReasonForExcludingAServerIsShown)
 {
 	list_app(apps[0], "draining");
 	store_stand_put(store, "op", "evacuate/d2", "{}");
@@ -248,7 +249,7 @@
 }
 
 /* Bodies that are no question: a clear error, and the node goes on. */
-TEST_F(AdminTest, BadBodiesAreTold)
+TEST_F(AdminTest, BadBodiesAreRejected)
 {
 	for (const char *body :
 	     { "", "{", "[]", "{\"sentence\":7}", "{\"x\":1}" }) {
--- a/tests/edge/confirmation_test.cc
+++ b/tests/edge/confirmation_test.cc
@@ -49,11 +49,11 @@
 	start_node();
 	add_reader();
 	vouch(0);
-	turn_for(300);
+	run_for(300);
 	vouch(0);
 	if (c.cut_off) {
 		silence();
-		turn_for(settings.config_within_us / 1000 + 300);
+		run_for(settings.config_within_us / 1000 + 300);
 	}
 	if (c.differs) {
 		silence();
@@ -116,18 +116,18 @@
 	narrow_link();
 	put_large(2);
 	vouch(1);
-	turn_for(200);
+	run_for(200);
 	put_large(3, late); /* acknowledged here */
 	put_us = edge_now_us(edge);
 	while (edge->routes->version < 2) {
 		reader_lives();
-		turn_for(50);
+		run_for(50);
 	}
 	ASSERT_EQ(2u, edge->routes->version);
 	while (edge_now_us(edge) - put_us <
 	       settings.config_within_us + 100000) {
 		reader_lives();
-		turn_for(50);
+		run_for(50);
 	}
 	EXPECT_NE(404, status_at("/late/"))
 		<< (edge_now_us(edge) - put_us) / 1000
@@ -149,10 +149,10 @@
 
 	add_app("i-1");
 	start_node();
-	turn_for(700);
+	run_for(700);
 	narrow_link();
 	put_large(2);
-	turn_for(300);
+	run_for(300);
 	put_large(3);
 	put_us = edge_now_us(edge);
 	wait_for([this] { return edge->routes->version == 2; });
@@ -176,7 +176,7 @@
 	EXPECT_EQ(404, status_at("/n7/"));
 	faults.silent = true;
 	store_stand_set_faults(store, &faults);
-	turn_for(settings.config_within_us / 1000 + 2000);
+	run_for(settings.config_within_us / 1000 + 2000);
 	EXPECT_EQ(503, status_at("/n7/"));
 	put_large(2);
 	store_stand_forget(store);
@@ -189,7 +189,7 @@
 		ASSERT_NE(404, status)
 			<< "confirmed " << sync_routes_age_us(sync) / 1000
 			<< " ms ago";
-		turn_for(20);
+		run_for(20);
 	}
 	EXPECT_EQ(2u, edge->routes->version);
 }
@@ -207,7 +207,7 @@
 	start_node();
 	store_stand_put(store, "op", "config", "{\"version\":2,\"routes\":{");
 	wait_for([this] { return status_at("/added-later/") == 503; });
-	turn_for(1500);
+	run_for(1500);
 	uint32_t count = sync_vouches(sync, vouches);
 	for (uint32_t i = 0; i < count; i++)
 		EXPECT_FALSE(vouches[i].table == REGISTRY_CONFIG &&
@@ -229,18 +229,18 @@
 
 	add_app("i-1");
 	start_node();
-	turn_for(200);
+	run_for(200);
 	faults.silent_table = "op";
 	store_stand_set_faults(store, &faults);
 	put_large(2);
 	put_us = edge_now_us(edge);
-	turn_for(settings.config_within_us / 1000 + 100);
+	run_for(settings.config_within_us / 1000 + 100);
 	for (int i = 0; i < 40 && edge->routes->version < 2; i++) {
 		ASSERT_NE(404, status_at("/n7/"))
 			<< (edge_now_us(edge) - put_us) / 1000
 			<< " ms after the change; routes confirmed "
 			<< sync_routes_age_us(sync) / 1000 << " ms ago";
-		turn_for(50);
+		run_for(50);
 	}
 }
 
@@ -255,7 +255,7 @@
 	EXPECT_EQ(404, status_at("/n7/"));
 	narrow_link();
 	put_large(2);
-	turn_for(300);
+	run_for(300);
 	EXPECT_EQ(503, status_at("/n7/"));
 	EXPECT_EQ(200, status_at("/r/"));
 	wait_for([this] { return edge->routes->version == 2; });
--- a/tests/edge/crash_test.cc
+++ b/tests/edge/crash_test.cc
@@ -20,7 +20,7 @@
 			app_stand_set_deadly(app.stand, "/r/deadly");
 		}
 	}
-	int ended() const
+	int count_crashed() const
 	{
 		int count = 0;
 
@@ -38,35 +38,35 @@
  * connected two tries that differ by their id. Evidence: the nodes' logs name
  * one method, path and body, by its fingerprint, at each server that ended.
  */
-TEST_F(CrashTest, ARequestThatComesAgainCrashesThreeServersAtMost)
+TEST_F(CrashTest, RepeatedRequestCrashesAtMostThreeServers)
 {
 	add_apps(10);
 	start_node();
 	for (int i = 0; i < 10; i++)
 		answer_to(get("again-" + std::to_string(i), "/r/deadly"));
-	EXPECT_GE(3, ended());
+	EXPECT_GE(3, count_crashed());
 }
 
-struct again_case {
+struct repeated_case {
 	const char *name;
 	const char *path;
 	int status; /* at the first try */
 };
 
-const again_case again_cases[] = {
+const repeated_case repeated_cases[] = {
 	{ "Idempotent", "/r/deadly", 502 },
 	{ "Once", "/o/deadly", 502 },
 };
 
-class AgainTest : public CrashTest,
-		  public ::testing::WithParamInterface<again_case>
+class RepeatedRequestTest : public CrashTest,
+			    public ::testing::WithParamInterface<repeated_case>
 {
 };
 
 /* Guards against callers of a quarantined request waiting, or hammering. */
-TEST_P(AgainTest, IsRefusedAtOnceAsNotRun)
+TEST_P(RepeatedRequestTest, IsRefusedAtOnceAsNotRun)
 {
-	const again_case &c = GetParam();
+	const repeated_case &c = GetParam();
 
 	for (int i = 1; i <= 8; i++)
 		app_stand_set_deadly(add_app("i-" + std::to_string(i)).stand,
@@ -77,7 +77,7 @@
 		answer_to(get("again-" + std::to_string(i), c.path));
 	std::string answer = answer_to(get("last", c.path));
 
-	EXPECT_EQ(3, ended());
+	EXPECT_EQ(3, count_crashed());
 	EXPECT_EQ(503, status_of(answer)) << answer;
 	EXPECT_NE(std::string::npos, answer.find("Retry-After: 60.000\r\n"));
 	for (const App &app : apps)
@@ -85,16 +85,17 @@
 	EXPECT_EQ(200, status_of(answer_to(get("other", "/r/other"))));
 }
 
-INSTANTIATE_TEST_SUITE_P(Cases, AgainTest, ::testing::ValuesIn(again_cases),
+INSTANTIATE_TEST_SUITE_P(Cases, RepeatedRequestTest,
+			 ::testing::ValuesIn(repeated_cases),
 			 [](const auto &info) { return info.param.name; });
 
 /* Guards against a suspect being held until its deadline by its claim. */
-TEST_F(CrashTest, ASuspectWithoutTimeForItsClaimIsRefusedAtOnce)
+TEST_F(CrashTest, SuspectWithoutTimeForAClaimIsRefusedAtOnce)
 {
 	add_apps(6);
 	start_node();
 	answer_to(get("first", "/r/deadly"));
-	ASSERT_EQ(2, ended());
+	ASSERT_EQ(2, count_crashed());
 	uint64_t began_us = edge_now_us(edge);
 	std::string answer =
 		answer_to("GET /r/deadly HTTP/1.1\r\nHost: h.example\r\n"
@@ -103,11 +104,11 @@
 
 	EXPECT_EQ(503, status_of(answer)) << answer;
 	EXPECT_GT(100 * US_PER_MS, edge_now_us(edge) - began_us);
-	EXPECT_EQ(2, ended());
+	EXPECT_EQ(2, count_crashed());
 }
 
 /* Guards against those that shared a server with it losing their answers. */
-TEST_F(CrashTest, RequestsBesideItAreServed)
+TEST_F(CrashTest, RequestsOnTheSameServersAreServed)
 {
 	std::vector<std::unique_ptr<RawCaller>> callers;
 
@@ -122,7 +123,7 @@
 		wait_for([&] { return is_whole(*caller); });
 		EXPECT_EQ(200, status_of(caller->got)) << caller->got;
 	}
-	EXPECT_EQ(3, ended());
+	EXPECT_EQ(3, count_crashed());
 }
 
 /* Guards against one reset connection passing for a server's end. */
@@ -133,13 +134,13 @@
 	app_stand_set_fault(app.stand, APP_CRASH);
 	start_node();
 	answer_to(get("a1", "/o/x"));
-	turn_for(50);
+	run_for(50);
 	EXPECT_EQ(0u, edge->suspects->count);
 	EXPECT_FALSE(crash_watch_is_busy(edge->crashes));
 }
 
 /* Guards against what ran in a failure domain that lost power. */
-TEST_F(CrashTest, ADomainThatEndsMakesNoSuspects)
+TEST_F(CrashTest, DomainOutageMakesNoSuspects)
 {
 	std::vector<std::unique_ptr<RawCaller>> callers;
 
@@ -170,7 +171,7 @@
 }
 
 /* Guards against broken connections of servers that live quarantining. */
-TEST_F(CrashTest, ServersThatBreakOffAndLiveQuarantineNothing)
+TEST_F(CrashTest, BrokenConnectionsOfLiveServersQuarantineNothing)
 {
 	add_app("i-1");
 	add_app("i-2");
@@ -188,10 +189,10 @@
 }
 
 /* Guards against the death of all nodes freeing what they had quarantined. */
-class KeepTest : public CrashTest
+class CrashStoreTest : public CrashTest
 {
       protected:
-	void start_keeping()
+	void start_with_store()
 	{
 		start_node();
 		quarantines = quarantine_store_open(edge);
@@ -226,10 +227,10 @@
 	struct quarantine_store *quarantines = nullptr;
 };
 
-TEST_F(KeepTest, AQuarantineIsWrittenToTheStore)
+TEST_F(CrashStoreTest, AQuarantineIsWrittenToTheStore)
 {
 	add_apps(6);
-	start_keeping();
+	start_with_store();
 	for (int i = 0; i < 3; i++)
 		answer_to(get("again-" + std::to_string(i), "/r/deadly"));
 	wait_for([this] { return row("/r/deadly"); });
@@ -237,10 +238,10 @@
 }
 
 /* Guards against the row of one that another explains outliving all nodes. */
-TEST_F(KeepTest, ARowGoesWithItsQuarantine)
+TEST_F(CrashStoreTest, RowIsDeletedWithItsQuarantine)
 {
 	add_apps(6);
-	start_keeping();
+	start_with_store();
 	for (int i = 0; i < 3; i++)
 		answer_to(get("again-" + std::to_string(i), "/r/deadly"));
 	wait_for([this] { return row("/r/deadly"); });
@@ -288,26 +289,28 @@
 	  200 },
 };
 
-class RowTest : public KeepTest, public ::testing::WithParamInterface<row_case>
+class CrashStoreRowTest : public CrashStoreTest,
+			  public ::testing::WithParamInterface<row_case>
 {
 };
 
-TEST_P(RowTest, IsReadAfterAStart)
+TEST_P(CrashStoreRowTest, IsReadAfterAStart)
 {
 	put_row("/r/x", GetParam().value);
 	add_app("i-1");
-	start_keeping();
+	start_with_store();
 	uint64_t calls = store_stand_calls(store);
-	turn_for(400);
+	run_for(400);
 	EXPECT_LT(calls, store_stand_calls(store));
 	EXPECT_EQ(GetParam().status, status_of(answer_to(get("a1", "/r/x"))));
 }
 
-INSTANTIATE_TEST_SUITE_P(Cases, RowTest, ::testing::ValuesIn(row_cases),
+INSTANTIATE_TEST_SUITE_P(Cases, CrashStoreRowTest,
+			 ::testing::ValuesIn(row_cases),
 			 [](const auto &info) { return info.param.name; });
 
 /* Guards against rows beyond the first answer's 500 never being read. */
-TEST_F(KeepTest, AllPagesOfRowsAreRead)
+TEST_F(CrashStoreTest, AllPagesOfRowsAreRead)
 {
 	for (int i = 0; i < 600; i++)
 		store_stand_put(
@@ -316,25 +319,25 @@
 			"{}");
 	put_row("/r/x", row_cases[0].value);
 	add_app("i-1");
-	start_keeping();
+	start_with_store();
 	wait_for([this] { return !quarantine_store_is_reading(quarantines); });
 	EXPECT_EQ(503, status_of(answer_to(get("a1", "/r/x"))));
 	EXPECT_EQ(0u, app_stand_total_runs(apps[0].stand));
 }
 
 /* Guards against rows of quarantines that ended staying for ever. */
-TEST_F(KeepTest, ARowThatIsLongOverIsRemoved)
+TEST_F(CrashStoreTest, ExpiredRowIsRemoved)
 {
 	put_row("/r/x", "{\"rounds\":1,\"left_ms\":300000,\"written_ms\":1000,"
 			"\"by_hand\":true,\"lives\":[],\"request\":\"\"}");
 	add_app("i-1");
-	start_keeping();
+	start_with_store();
 	wait_for([this] { return !row("/r/x"); });
 	EXPECT_EQ(200, status_of(answer_to(get("a1", "/r/x"))));
 }
 
 /* Guards against a start that sends before it has read what is quarantined. */
-TEST_F(KeepTest, NothingIsSentBeforeTheRowsAreRead)
+TEST_F(CrashStoreTest, NothingIsSentBeforeTheRowsAreRead)
 {
 	struct store_faults faults = {};
 
@@ -353,38 +356,38 @@
 }
 
 /* Guards against a release that comes while the row is being written. */
-TEST_F(KeepTest, ARowThatChangesMeanwhileIsWrittenAgain)
+TEST_F(CrashStoreTest, RowThatChangesDuringAWriteIsWrittenAgain)
 {
 	struct store_faults faults = {};
 
 	add_app("i-1");
-	start_keeping();
-	turn_for(300);
+	start_with_store();
+	run_for(300);
 	faults.slow_us = 200 * US_PER_MS;
 	store_stand_set_faults(store, &faults);
 	ASSERT_TRUE(suspect_quarantine(edge->suspects, 7, edge_now_us(edge)));
 	quarantine_store_keep(quarantines, 7);
-	turn_for(50);
+	run_for(50);
 	ASSERT_TRUE(suspect_release(edge->suspects, 7, edge_now_us(edge)));
 	quarantine_store_keep(quarantines, 7);
-	turn_for(800);
+	run_for(800);
 	EXPECT_EQ(nullptr,
 		  store_stand_get(store, "quarantines", "0000000000000007"));
 }
 
 /* Guards against a store that is away losing what was to be kept. */
-TEST_F(KeepTest, ARowIsWrittenWhenTheStoreIsBack)
+TEST_F(CrashStoreTest, RowIsWrittenWhenTheStoreIsBack)
 {
 	struct store_faults faults = {};
 
 	add_apps(6);
-	start_keeping();
-	turn_for(300);
+	start_with_store();
+	run_for(300);
 	faults.refuse_status = 503;
 	store_stand_set_faults(store, &faults);
 	for (int i = 0; i < 3; i++)
 		answer_to(get("again-" + std::to_string(i), "/r/deadly"));
-	turn_for(200);
+	run_for(200);
 	EXPECT_EQ(nullptr, row("/r/deadly"));
 	faults.refuse_status = 0;
 	store_stand_set_faults(store, &faults);
--- a/tests/edge/early_ends_test.cc
+++ b/tests/edge/early_ends_test.cc
@@ -22,7 +22,7 @@
 			return caller.got.size() >= until || is_whole(caller);
 		});
 		caller.pause();
-		turn_for(pause_ms);
+		run_for(pause_ms);
 	}
 };
 
@@ -82,7 +82,7 @@
 	wait_for([&] { return caller->connected; });
 	caller->pause();
 	for (int i = 0; i < 10; i++) {
-		turn_for(200);
+		run_for(200);
 		caller->send(piece);
 		ASSERT_FALSE(caller->broken) << i * 200 << " ms";
 	}
@@ -165,7 +165,7 @@
 	start_node();
 	auto caller = call(GetParam().before);
 	wait_for([&] { return caller->connected; });
-	turn_for(200);
+	run_for(200);
 	caller->send(GetParam().after);
 	g_usleep(3300 * 1000);
 	wait_for([&] { return is_whole(*caller); });
@@ -210,7 +210,7 @@
 	wait_for([&] { return !caller->got.empty(); });
 	edge->stopping = true;
 	caller->pause();
-	turn_for(300);
+	run_for(300);
 	EXPECT_EQ(0u, edge->exchanges);
 	EXPECT_TRUE(callers_are_waiting(edge));
 	callers_close_idle(edge);
@@ -232,12 +232,12 @@
 
 	add_app("i-1");
 	start_node();
-	turn_for(300);
-	extra_routes += routes_named_n(400);
+	run_for(300);
+	extra_routes += numbered_routes(400);
 	faults.bytes_per_s = extra_routes.size(); /* takes more than 1 s */
 	store_stand_set_faults(store, &faults);
 	put_routes(2);
-	turn_for(500);
+	run_for(500);
 	g_usleep(1500 * 1000);
 	wait_for([this] { return edge->routes->version == 2; });
 	EXPECT_EQ(0u, metric_value(edge->stats.registry_lost_bytes));
@@ -255,8 +255,8 @@
 
 	add_app("i-1");
 	start_node();
-	turn_for(300);
-	extra_routes += routes_named_n(400);
+	run_for(300);
+	extra_routes += numbered_routes(400);
 	faults.bytes_per_s = extra_routes.size() * 4 / 3 / 3;
 	store_stand_set_faults(store, &faults);
 	put_routes(2);
@@ -308,7 +308,7 @@
 	leaver->leave();
 	g_usleep(600 * 1000);
 	wait_for([&] { return is_whole(*stayer); });
-	turn_for(200);
+	run_for(200);
 	EXPECT_EQ(0u, app_stand_runs(app.stand, "a2"));
 	EXPECT_EQ(1u, app_stand_runs(app.stand, "a3"));
 	EXPECT_EQ(200, status_of(stayer->got));
@@ -326,7 +326,7 @@
 	start_node();
 	auto caller = call(get("a1", "/r/"));
 	wait_for([&] { return is_whole(*caller); });
-	turn_for(400);
+	run_for(400);
 	ASSERT_FALSE(callers_are_unread(edge));
 	caller->got.clear();
 	caller->send(get("a2", "/r/"));
@@ -339,7 +339,7 @@
 	wait_for([&] { return is_whole(*caller); });
 	EXPECT_EQ(200, status_of(caller->got));
 	EXPECT_EQ(1u, app_stand_runs(app.stand, "a2"));
-	turn_for(600);
+	run_for(600);
 	EXPECT_FALSE(callers_are_unread(edge));
 }
 
@@ -354,11 +354,11 @@
 	uint64_t before_us;
 
 	start_node(false);
-	turn_for(500);
+	run_for(500);
 	before_us = edge_now_us(edge);
-	EXPECT_GE(edge_came_by_us(edge) + 100000, before_us);
+	EXPECT_GE(edge_earliest_arrival_us(edge) + 100000, before_us);
 	g_usleep(600 * 1000);
-	EXPECT_LE(edge_came_by_us(edge), before_us);
+	EXPECT_LE(edge_earliest_arrival_us(edge), before_us);
 }
 
 } // namespace
--- a/tests/edge/edge_world.h
+++ b/tests/edge/edge_world.h
@@ -185,8 +185,8 @@
 				app_stand_close(app.stand);
 		if (store)
 			store_stand_close(store);
-		if (turning_)
-			uv_close((uv_handle_t *)&turner_, nullptr);
+		if (wakeup_timer_runs_)
+			uv_close((uv_handle_t *)&wakeup_timer_, nullptr);
 		uv_run(&loop, UV_RUN_DEFAULT);
 		uv_loop_close(&loop);
 		g_free(sync);
@@ -203,16 +203,16 @@
 	{
 		uint64_t end_ns = uv_hrtime() + 20ull * 1000000000;
 
-		keep_turning();
+		start_wakeup_timer();
 		while (!condition() && uv_hrtime() < end_ns)
 			uv_run(&loop, UV_RUN_ONCE);
 		EXPECT_TRUE(condition()) << what;
 	}
-	void turn_for(uint64_t ms)
+	void run_for(uint64_t ms)
 	{
 		uint64_t end_ns = uv_hrtime() + ms * 1000000;
 
-		keep_turning();
+		start_wakeup_timer();
 		while (uv_hrtime() < end_ns)
 			uv_run(&loop, UV_RUN_ONCE);
 	}
@@ -267,7 +267,7 @@
 	uint32_t answer_bytes = 0; /* least size of backend servers' answers */
 
 	/* For extra_routes: /n0/, /n1/ and so on. */
-	static std::string routes_named_n(int count)
+	static std::string numbered_routes(int count)
 	{
 		std::string text;
 
@@ -481,15 +481,15 @@
 		pool_sweep(&edge->pool, edge->backends);
 	}
 	/* A timer of our own, so that a turn of the loop always ends. */
-	void keep_turning()
+	void start_wakeup_timer()
 	{
-		if (turning_)
+		if (wakeup_timer_runs_)
 			return;
-		turning_ = true;
-		uv_timer_init(&loop, &turner_);
+		wakeup_timer_runs_ = true;
+		uv_timer_init(&loop, &wakeup_timer_);
 		uv_timer_start(
-			&turner_, [](uv_timer_t *) {}, 5, 5);
-		uv_unref((uv_handle_t *)&turner_);
+			&wakeup_timer_, [](uv_timer_t *) {}, 5, 5);
+		uv_unref((uv_handle_t *)&wakeup_timer_);
 	}
 	void release_edge()
 	{
@@ -498,8 +498,8 @@
 		delete edge;
 	}
 	uv_timer_t sweeper;
-	uv_timer_t turner_;
-	bool turning_ = false;
+	uv_timer_t wakeup_timer_;
+	bool wakeup_timer_runs_ = false;
 };
 
 #endif
--- a/tests/edge/gossip_test.cc
+++ b/tests/edge/gossip_test.cc
@@ -152,7 +152,7 @@
 	std::this_thread::sleep_for(std::chrono::milliseconds(50));
 	say(beat);
 	std::this_thread::sleep_for(std::chrono::milliseconds(stood_ms));
-	turn_for(50);
+	run_for(50);
 	EXPECT_GE(sync_routes_age_us(sync), stood_ms * 1000);
 	say(beat);
 	wait_for([this] { return sync_routes_age_us(sync) < 100000; });
@@ -233,7 +233,7 @@
 		return warmth_has(&edge->warmth, { 11, 22 }) &&
 		       warmth_has(&edge->warmth, { 11, 33 });
 	});
-	turn_for(1500);
+	run_for(1500);
 	hear();
 	for (const struct beat &one : beats)
 		for (uint32_t i = 0; i < one.pair_count; i++)
@@ -341,7 +341,7 @@
 		return g_hash_table_size(edge->backends->by_id) ==
 		       3 * BEAT_MAX_ROWS + 1;
 	});
-	turn_for(1000);
+	run_for(1000);
 	hear();
 	EXPECT_GE((size_t)BEAT_MAX_ROWS, told().size());
 }
@@ -383,7 +383,7 @@
 	say(std::string("hello"));
 	say(std::string(BEAT_MAX_BYTES + 1, 'x'));
 	say(std::string(64, '\0'));
-	turn_for(100);
+	run_for(100);
 	EXPECT_EQ(before, backend_table_digest(edge->backends));
 	EXPECT_EQ(2u, member_table_count(edge->members));
 	EXPECT_EQ(200, status_of(answer_to(get("a1", "/r/"))));
@@ -441,7 +441,7 @@
 	snprintf(key, sizeof(key), "%016" PRIx64, word.fingerprint);
 	wait_for([&] { return store_stand_get(store, "quarantines", key); });
 	quarantine_store_close(quarantines);
-	turn_for(20);
+	run_for(20);
 	g_free(quarantines);
 }
 
@@ -495,7 +495,7 @@
 		put_dead_sender(hash_before(neighbour->hash + 1));
 		member_heard(neighbour, 1, false, edge_now_us(edge));
 		const struct rate_word word = { backend->life, 1, 0 };
-		ASSERT_TRUE(server_limits_take(edge, &word));
+		ASSERT_TRUE(server_limits_apply_update(edge, &word));
 		ASSERT_DOUBLE_EQ(0, backend->limit.part_per_s);
 	}
 	/* The node's question for a token reaches the neighbour. */
@@ -574,14 +574,14 @@
 	start_beside_sender();
 	for (int i = 0; i < 5; i++)
 		answer(true);
-	turn_for(50);
+	run_for(50);
 	EXPECT_FALSE(rate_limit_allows(&backend->limit, edge_now_us(edge)));
 	auto caller = call(get("a1", "/r/"));
 	wait_for([this] { return was_asked(); });
 	answer(true);
 	answer(true);
 	wait_for([&] { return is_whole(*caller); });
-	turn_for(20);
+	run_for(20);
 	EXPECT_FALSE(rate_limit_allows(&backend->limit, edge_now_us(edge)));
 }
 
--- a/tests/edge/lane_test.cc
+++ b/tests/edge/lane_test.cc
@@ -64,7 +64,7 @@
 		EXPECT_GT(lane.got_bytes, 0u);
 	}
 	lane_close(&lane);
-	turn_for(20);
+	run_for(20);
 }
 
 INSTANTIATE_TEST_SUITE_P(Cases, ArrivalTest, ::testing::ValuesIn(arrival_cases),
--- a/tests/edge/large_document.h
+++ b/tests/edge/large_document.h
@@ -41,7 +41,7 @@
 	}
 	static std::string routes_text()
 	{
-		return routes_named_n(added_routes);
+		return numbered_routes(added_routes);
 	}
 	void put_large(int version, const std::string &more = "")
 	{
@@ -55,7 +55,7 @@
 		start_node();
 		add_reader();
 		vouch(0);
-		turn_for(1000);
+		run_for(1000);
 	}
 	/*
 	 * The reader's beat; its routes differ by so much from this node's, and
@@ -90,7 +90,7 @@
 
 		while (!condition() && edge_now_us(edge) < end_us) {
 			vouch(edge->routes->version < 2, others_differ);
-			turn_for(100);
+			run_for(100);
 		}
 	}
 	uint64_t failures()
--- a/tests/edge/large_document_test.cc
+++ b/tests/edge/large_document_test.cc
@@ -40,7 +40,7 @@
 	narrow_link();
 	start_node(false);
 	EXPECT_EQ(503, status_at("/n7/"));
-	turn_for(2 * transfer_ms);
+	run_for(2 * transfer_ms);
 	EXPECT_TRUE(edge_is_ready(edge));
 	EXPECT_EQ(200, status_at("/n7/"));
 }
@@ -55,7 +55,7 @@
 	narrow_link();
 	put_large(2);
 	vouch(1);
-	turn_for(200);
+	run_for(200);
 	silence();
 	vouch_until([this] { return edge->routes->version == 2; },
 		    2 * transfer_ms, 1);
@@ -96,7 +96,7 @@
 
 	add_app("i-1");
 	start_node();
-	turn_for(700);
+	run_for(700);
 	narrow_link();
 	put_large(2);
 	put_us = edge_now_us(edge);
@@ -110,7 +110,7 @@
 			ASSERT_GE(vouches[i].age_ms + 150,
 				  (edge_now_us(edge) - put_us) / 1000);
 		}
-		turn_for(50);
+		run_for(50);
 	}
 	EXPECT_EQ(2u, edge->routes->version);
 }
@@ -129,10 +129,10 @@
 	narrow_link();
 	put_large(2);
 	vouch(1);
-	turn_for(600);
+	run_for(600);
 	before = failures();
 	usleep(1200000);
-	turn_for(50);
+	run_for(50);
 	EXPECT_EQ(before, failures());
 }
 
@@ -144,7 +144,7 @@
 	put_large(2);
 	vouch(1);
 	for (int i = 0; i < 5 && edge->routes->version < 2; i++) {
-		turn_for(2000);
+		run_for(2000);
 		reader_lives();
 		sync_refresh(sync);
 	}
--- a/tests/edge/link_fault_test.cc
+++ b/tests/edge/link_fault_test.cc
@@ -79,7 +79,7 @@
 	SCOPED_TRACE(c.story);
 	EXPECT_EQ(200, status_of(answer_to(get("a0", c.path))));
 	relay_set(relay, c.harm);
-	turn_for(50);
+	run_for(50);
 	std::string first = answer_to(get("a1", c.path, more));
 	EXPECT_EQ(c.first, status_of(first)) << first;
 	relay_set(relay, RELAY_PASS);
--- a/tests/edge/message_test.cc
+++ b/tests/edge/message_test.cc
@@ -125,7 +125,7 @@
 	  MESSAGE_WHOLE, "|304|||keep" },
 };
 
-TEST(MessageTest, IsReadAlikeHoweverItsBytesArrive)
+TEST(MessageTest, ResultDoesNotDependOnHowBytesArrive)
 {
 	std::mt19937 random(7);
 
@@ -168,7 +168,7 @@
 	}
 }
 
-TEST(MessageTest, AHeadsAnswerHasNoBody)
+TEST(MessageTest, AnswerToHeadHasNoBody)
 {
 	read_result result =
 		read_in(HTTP_RESPONSE,
@@ -180,7 +180,7 @@
 }
 
 /* Any bytes at all: a verdict, and no more read than there is. */
-TEST(MessageTest, AnyBytesGetAVerdict)
+TEST(MessageTest, RandomBytesAreHandled)
 {
 	std::mt19937 random(11);
 
--- a/tests/edge/neighbour_test.cc
+++ b/tests/edge/neighbour_test.cc
@@ -14,7 +14,7 @@
 	{
 		if (second_sync)
 			sync_close(second_sync);
-		turn_for(50);
+		run_for(50);
 		g_free(second_sync);
 		if (second_sync)
 			edge_release(&second);
@@ -124,7 +124,7 @@
 	{
 		wait_for_own_read();
 		for (int i = 0; i < 40; i++) {
-			turn_for(10);
+			run_for(10);
 			ASSERT_TRUE(holds());
 		}
 	}
@@ -168,11 +168,11 @@
 		add_app("i-" + std::to_string(i));
 	start_first();
 	put_member("n2", endpoint_at(2), 10);
-	turn_for(300);
+	run_for(300);
 	uint64_t before = reads(READ_STARTS);
 	uint64_t written = writes();
 	start_second();
-	turn_for(100);
+	run_for(100);
 	EXPECT_EQ(1u, reads(READ_STARTS) - before);
 	EXPECT_EQ(written, writes());
 	EXPECT_EQ(backend_table_digest(edge->backends),
@@ -185,13 +185,13 @@
 TEST_F(NeighbourTest, ANewNodeMakesItselfKnown)
 {
 	start_first();
-	turn_for(300);
+	run_for(300);
 	uint64_t written = writes();
 	start_second();
 	wait_for([this] {
 		return store_stand_get(store, "members", "n2") != nullptr;
 	});
-	turn_for(300);
+	run_for(300);
 	EXPECT_EQ(1u, writes() - written);
 }
 
@@ -201,7 +201,7 @@
 	add_app("i-1");
 	start_first(false);
 	put_member("n1", endpoint_at(1), 200);
-	turn_for(100);
+	run_for(100);
 	start_second();
 	EXPECT_NE(nullptr, backend_table_find(second.backends, "i-1"));
 }
@@ -217,7 +217,7 @@
 
 	start_both();
 	vouch_to_second();
-	turn_for(1000);
+	run_for(1000);
 	uint64_t differing = reads(READ_WORD_DIFFERS);
 	uint64_t old = reads(READ_WORD_OLD);
 	put_routes(9);
@@ -254,7 +254,7 @@
 			"\"zone\":\"d1\",\"slots\":4,\"state\":\"ready\"}");
 	start_both();
 	vouch_to_second();
-	turn_for(1000);
+	run_for(1000);
 	edge->settings.link_mbps = 1;
 	uint64_t differing = reads(READ_WORD_DIFFERS);
 	put_routes(9);
@@ -276,7 +276,7 @@
 {
 	start_both();
 	vouch_to_second();
-	turn_for(1000);
+	run_for(1000);
 	edge->settings.link_mbps = 0.00001; /* no answer fits */
 	put_routes(9);
 	wait_for([this] { return edge->routes->version == 9; });
@@ -297,11 +297,11 @@
 	add_app("i-1");
 	add_app("i-2");
 	start_both();
-	turn_for(1000);
+	run_for(1000);
 	uint64_t before = backend_table_digest(edge->backends);
 	faults.silent = true;
 	store_stand_set_faults(store, &faults);
-	turn_for(100);
+	run_for(100);
 	store_stand_put(store, "servers", "i-2", nullptr);
 	/* Only the second one reaches the store from here on. */
 	sync_redirect(sync, &dead);
@@ -312,7 +312,7 @@
 	ASSERT_EQ(before, backend_table_digest(edge->backends));
 	for (int i = 0; i < 10; i++) {
 		vouch_to_second();
-		turn_for(100);
+		run_for(100);
 		EXPECT_EQ(nullptr, backend_table_find(second.backends, "i-2"));
 	}
 }
@@ -329,11 +329,11 @@
 	start_node();
 	ASSERT_EQ(2u, member_table_count(edge->members));
 	edge->members->self->leaving = true;
-	turn_for(1200);
+	run_for(1200);
 	uint64_t before = reads(READ_FOLLOWS);
 	edge->members->self->leaving = false;
 	sync_became_ready(sync);
-	turn_for(100);
+	run_for(100);
 	EXPECT_GE(reads(READ_FOLLOWS) - before, 2u);
 }
 
@@ -348,7 +348,7 @@
 	for (int i = 0; i < 10; i++)
 		add_app("i-" + std::to_string(i));
 	start_both();
-	turn_for(300);
+	run_for(300);
 	store_stand_put(store, "servers", "i-3", nullptr);
 	wait_for([this] { return !backend_table_find(edge->backends, "i-3"); });
 	vouch_to_second();
@@ -367,7 +367,7 @@
 			     edge_now_us(edge) + 2000000, edge_now_us(edge));
 	for (int i = 0; i < 12; i++) {
 		vouch_to_second();
-		turn_for(100);
+		run_for(100);
 		EXPECT_EQ(nullptr, backend_table_find(second.backends, "i-3"));
 	}
 	EXPECT_NE(nullptr, backend_table_find(edge->backends, "i-3"));
@@ -379,13 +379,13 @@
 	for (int i = 0; i < 10; i++)
 		add_app("i-" + std::to_string(i));
 	start_both();
-	turn_for(1000);
+	run_for(1000);
 	backend_table_remove(edge->backends, "i-3", 0,
 			     edge_now_us(edge) + 2000000, edge_now_us(edge));
 	list_app(apps[5], "draining");
 	wait_for([this] {
 		vouch_to_second();
-		turn_for(50);
+		run_for(50);
 		return backend_table_find(second.backends, "i-5")->draining;
 	});
 	EXPECT_NE(nullptr, backend_table_find(second.backends, "i-3"));
@@ -401,9 +401,9 @@
 	add_app("i-1");
 	start_first();
 	put_member("n2", endpoint_at(2), 10);
-	turn_for(300);
+	run_for(300);
 	sync_redirect(sync, &dead);
-	turn_for(1200);
+	run_for(1200);
 	start_second();
 	EXPECT_GE(sync_routes_age_us(second_sync), 1200000u);
 }
@@ -454,17 +454,17 @@
 	App &app = add_app("i-1");
 
 	start_both();
-	turn_for(1000);
+	run_for(1000);
 	list_app(app, "draining");
 	while (!drains(*edge, "i-1")) {
 		vouch_to_second();
-		turn_for(20);
+		run_for(20);
 	}
 	for (unsigned i = 0; i < 6 && !drains(second, "i-1"); i++) {
 		put_routes(100 + i);
 		wait_for([&] { return edge->routes->version == 100 + i; });
 		vouch_to_second();
-		turn_for(100);
+		run_for(100);
 	}
 	EXPECT_TRUE(drains(second, "i-1"));
 }
@@ -478,7 +478,7 @@
 	App &app = add_app("i-1");
 
 	start_both();
-	turn_for(1000);
+	run_for(1000);
 	sync_views(sync, first);
 	uint64_t before = first[REGISTRY_BACKENDS].version;
 	for (int i = 2; i < 10; i++)
@@ -499,11 +499,11 @@
 {
 	const int routes = 600;
 
-	extra_routes = routes_named_n(routes);
+	extra_routes = numbered_routes(routes);
 	put_routes(2);
 	start_both();
 	vouch_to_second();
-	turn_for(1000);
+	run_for(1000);
 	edge->settings.link_mbps = 0.00001; /* no answer fits */
 	for (int version = 3; version <= 8; version++)
 		put_routes(version);
@@ -520,7 +520,7 @@
 /* The reader is gone: nobody says that there are several newer versions. */
 TEST_F(NeighbourTest, RoutesOfAnOldWordAreReadOnce)
 {
-	extra_routes = routes_named_n(600);
+	extra_routes = numbered_routes(600);
 	put_routes(2);
 	start_first();
 	put_member("n2", endpoint_at(2), 10);
--- a/tests/edge/server_limit_test.cc
+++ b/tests/edge/server_limit_test.cc
@@ -18,7 +18,7 @@
 		for (uint64_t at = 0; at < ms; at += 40) {
 			callers.push_back(call(
 				get("q" + std::to_string(number++), "/r/")));
-			turn_for(40);
+			run_for(40);
 		}
 		return app_stand_total_runs(app.stand) - before;
 	}
@@ -36,25 +36,25 @@
 };
 
 /* The node goes on sending as much as if nothing had been said. */
-TEST_F(ServerLimitTest, AServerGetsNoMoreThanItNames)
+TEST_F(ServerLimitTest, ServerGetsNoMoreThanItsRate)
 {
-	App &needy = add_app("i-1");
+	App &limited = add_app("i-1");
 
 	start_node();
-	app_stand_set_headers(needy.stand, "Server-Limit: 2\r\n");
-	runs_within(needy, 500);
-	EXPECT_LE(runs_within(needy, 4000), 17u);
+	app_stand_set_headers(limited.stand, "Server-Limit: 2\r\n");
+	runs_within(limited, 500);
+	EXPECT_LE(runs_within(limited, 4000), 17u);
 }
 
 /* Where there is demand the server gets what it takes. */
-TEST_F(ServerLimitTest, TheRateIsUsed)
+TEST_F(ServerLimitTest, RateIsFullyUsed)
 {
-	App &needy = add_app("i-1");
+	App &limited = add_app("i-1");
 
 	start_settled_node();
-	app_stand_set_headers(needy.stand, "Server-Limit: 5\r\n");
-	runs_within(needy, 500);
-	uint32_t runs = runs_within(needy, 2000);
+	app_stand_set_headers(limited.stand, "Server-Limit: 5\r\n");
+	runs_within(limited, 500);
+	uint32_t runs = runs_within(limited, 2000);
 	EXPECT_GE(runs, 9u);
 	EXPECT_LE(runs, 11u);
 }
@@ -62,26 +62,26 @@
 /* What it doesn't take another server does. */
 TEST_F(ServerLimitTest, AnotherServerTakesTheRest)
 {
-	App &needy = add_app("i-1");
+	App &limited = add_app("i-1");
 
 	start_settled_node();
-	app_stand_set_headers(needy.stand, "Server-Limit: 1\r\n");
+	app_stand_set_headers(limited.stand, "Server-Limit: 1\r\n");
 	answer_to(get("a1", "/r/"));
 	add_app("i-2");
 	wait_for([this] { return backend_table_find(edge->backends, "i-2"); });
 	for (int i = 0; i < 10; i++)
 		EXPECT_EQ(200, status_of(answer_to(
 				       get("b" + std::to_string(i), "/r/"))));
-	EXPECT_LE(app_stand_total_runs(needy.stand), 2u);
+	EXPECT_LE(app_stand_total_runs(limited.stand), 2u);
 }
 
 /* What no server has rate for is refused at once, and has not run. */
-TEST_F(ServerLimitTest, WithoutRateTheRefusalIsAtOnce)
+TEST_F(ServerLimitTest, RequestWithoutATokenIsRefusedAtOnce)
 {
-	App &needy = add_app("i-1");
+	App &limited = add_app("i-1");
 
 	start_settled_node();
-	app_stand_set_headers(needy.stand, "Server-Limit: 0.5\r\n");
+	app_stand_set_headers(limited.stand, "Server-Limit: 0.5\r\n");
 	answer_to(get("a1", "/r/"));
 	uint64_t began = uv_hrtime();
 	std::string answer = answer_to(get("a2", "/r/"));
@@ -89,39 +89,39 @@
 	EXPECT_EQ(503, status_of(answer));
 	EXPECT_NE(std::string::npos, answer.find("Retry-After"));
 	EXPECT_NE(std::string::npos, answer.find("no-rate"));
-	EXPECT_EQ(0u, app_stand_runs(needy.stand, "a2"));
+	EXPECT_EQ(0u, app_stand_runs(limited.stand, "a2"));
 }
 
 /* The server names none any more: it is filled again, within 3 s. */
-TEST_F(ServerLimitTest, ARateThatIsGoneBindsNobody)
+TEST_F(ServerLimitTest, TrafficRampsUpAfterTheRateIsLifted)
 {
-	App &needy = add_app("i-1");
+	App &limited = add_app("i-1");
 
 	start_settled_node();
-	app_stand_set_headers(needy.stand, "Server-Limit: 5\r\n");
-	runs_within(needy, 400);
+	app_stand_set_headers(limited.stand, "Server-Limit: 5\r\n");
+	runs_within(limited, 400);
 	ASSERT_DOUBLE_EQ(5, limit_of("i-1").per_s);
-	app_stand_set_headers(needy.stand, nullptr);
-	runs_within(needy, 600);
+	app_stand_set_headers(limited.stand, nullptr);
+	runs_within(limited, 600);
 	ASSERT_DOUBLE_EQ(0, limit_of("i-1").per_s);
-	EXPECT_LE(runs_within(needy, 400), 9u);
-	runs_within(needy, 2000);
-	EXPECT_GE(runs_within(needy, 400), 9u);
+	EXPECT_LE(runs_within(limited, 400), 9u);
+	runs_within(limited, 2000);
+	EXPECT_GE(runs_within(limited, 400), 9u);
 }
 
 /* Words that aren't a rate, or are two, leave the last good one in force. */
-TEST_F(ServerLimitTest, WhatIsNoRateChangesNothing)
+TEST_F(ServerLimitTest, InvalidRatesChangeNothing)
 {
-	App &needy = add_app("i-1");
+	App &limited = add_app("i-1");
 
 	start_settled_node();
-	app_stand_set_headers(needy.stand, "Server-Limit: 20\r\n");
+	app_stand_set_headers(limited.stand, "Server-Limit: 20\r\n");
 	answer_to(get("a0", "/r/"));
 	for (const char *bad : { "Server-Limit: 0\r\n", "Server-Limit: nan\r\n",
 				 "Server-Limit: \r\n",
 				 "Server-Limit: 3\r\nServer-Limit: 3\r\n" }) {
-		turn_for(60);
-		app_stand_set_headers(needy.stand, bad);
+		run_for(60);
+		app_stand_set_headers(limited.stand, bad);
 		EXPECT_EQ(200,
 			  status_of(answer_to(
 				  get("a" + std::to_string(++number), "/r/"))));
@@ -131,46 +131,47 @@
 }
 
 /* A node that only hears of the rate keeps to it as well. */
-TEST_F(ServerLimitTest, ANeighboursWordIsKeptTo)
+TEST_F(ServerLimitTest, RateOfAPeerIsObeyed)
 {
-	App &needy = add_app("i-1");
+	App &limited = add_app("i-1");
 
 	start_settled_node();
 	uint32_t life = backend_table_find(edge->backends, "i-1")->life;
 	for (const struct rate_word &absurd :
 	     { rate_word{ life, -1, 0 }, rate_word{ life, 1e300, 0 },
 	       rate_word{ life, 2, 3600ull * 1000000 } })
-		EXPECT_FALSE(server_limits_take(edge, &absurd));
+		EXPECT_FALSE(server_limits_apply_update(edge, &absurd));
 	EXPECT_DOUBLE_EQ(0, limit_of("i-1").per_s);
-	const struct rate_word word = { life, 1, 0 };
-	EXPECT_TRUE(server_limits_take(edge, &word));
+	const struct rate_word update = { life, 1, 0 };
+	EXPECT_TRUE(server_limits_apply_update(edge, &update));
 	EXPECT_EQ(503, status_of(answer_to(get("a1", "/r/"))));
-	EXPECT_EQ(0u, app_stand_total_runs(needy.stand));
+	EXPECT_EQ(0u, app_stand_total_runs(limited.stand));
 }
 
 /* Ever lower rates, each of them news for all nodes. */
-TEST_F(ServerLimitTest, RatesThatKeepFallingCostBoundedWords)
+TEST_F(ServerLimitTest, FallingRatesSendBoundedUpdates)
 {
-	struct rate_word told[BEAT_MAX_RATES];
-	uint32_t words = 0;
-	App &needy = add_app("i-1");
+	struct rate_word sent[BEAT_MAX_RATES];
+	uint32_t updates = 0;
+	App &limited = add_app("i-1");
 
 	start_settled_node();
 	for (int i = 0; i < 50; i++) {
 		app_stand_set_headers(
-			needy.stand,
+			limited.stand,
 			("Server-Limit: " + std::to_string(2000 - i) + "\r\n")
 				.c_str());
 		answer_to(get("a" + std::to_string(i), "/r/"));
-		words += server_limits_urgent_words(edge, told, BEAT_MAX_RATES);
-		turn_for(10);
+		updates += server_limits_broadcast_updates(edge, sent,
+							   BEAT_MAX_RATES);
+		run_for(10);
 	}
 	ASSERT_DOUBLE_EQ(1951, limit_of("i-1").per_s);
-	EXPECT_LE(words, 8u);
+	EXPECT_LE(updates, 8u);
 }
 
 /* Another server has the address now, and names a rate of its own. */
-TEST_F(ServerLimitTest, AnotherServersRateIsNotBelieved)
+TEST_F(ServerLimitTest, RateOfAnotherServerIsIgnored)
 {
 	App &app = add_app("i-1");
 	std::string row = "{\"service\":\"s\",\"addr\":\"127.0.0.1:" +
--- a/tests/edge/sync_test.cc
+++ b/tests/edge/sync_test.cc
@@ -45,7 +45,7 @@
 	start_node();
 	set_silent(true);
 	wait_for([this] { return has_lost("backends"); }, "the store is lost");
-	turn_for(1500);
+	run_for(1500);
 	set_silent(false);
 	put_routes(7);
 	uint64_t calls = store_stand_calls(store);
@@ -213,11 +213,11 @@
 	start_node();
 	add_reader();
 	vouch(0);
-	turn_for(1500);
+	run_for(1500);
 	uint64_t calls = store_stand_calls(store);
 	for (int i = 0; i < 15; i++) {
 		vouch(100);
-		turn_for(200);
+		run_for(200);
 	}
 	EXPECT_LE(store_stand_calls(store) - calls, 2u);
 }
@@ -233,7 +233,7 @@
 	put_routes(8);
 	for (int i = 0; i < 100 && edge->routes->version != 8; i++) {
 		vouch(10000);
-		turn_for(50);
+		run_for(50);
 	}
 	EXPECT_EQ(8u, edge->routes->version);
 }
@@ -246,7 +246,7 @@
 	add_reader();
 	for (int i = 0; i < 6; i++) {
 		vouch(0);
-		turn_for(200);
+		run_for(200);
 	}
 	list_app(apps[0], "draining");
 	vouch(0, 1);
@@ -292,7 +292,7 @@
 					     REGISTRY_CONFIG;
 			sync_vouched(sync, &vouches[i]);
 		}
-		turn_for(100);
+		run_for(100);
 	}
 	EXPECT_EQ(8u, edge->routes->version);
 }
@@ -338,7 +338,7 @@
 	wait_for([&] { return second.routes->version == 7; });
 	wait_for([&] { return !backend_table_find(second.backends, "i-1"); });
 	sync_close(second_sync);
-	turn_for(50);
+	run_for(50);
 	g_free(second_sync);
 	edge_release(&second);
 }
@@ -421,7 +421,7 @@
 	EXPECT_EQ(1u, app_stand_runs(again.stand, "a2"));
 	/* A late entry of the life before changes nothing. */
 	list_app(before, "draining", "0ms", 3, ",\"born\":1000");
-	turn_for(300);
+	run_for(300);
 	EXPECT_FALSE(backend_table_find(edge->backends, "i-1")->draining);
 	EXPECT_EQ(200, status_of(answer_to(get("a3", "/o/"))));
 }
@@ -435,7 +435,7 @@
 	start_node();
 	wait_for([this] { return member_table_count(edge->members) == 2; });
 	sync_strike_lost(sync);
-	turn_for(100);
+	run_for(100);
 	ASSERT_NE(nullptr, store_stand_get(store, "members", "gone"));
 	edge->settings.forget_us = 1;
 	wait_for([this] {
