--- a/packages/edge/edge.c
+++ b/packages/edge/edge.c
@@ -3,7 +3,7 @@
 #include <http_parser.h>
 #include <string.h>
 
-/* Idle connections that are kept to each backend server. */
+/* Idle connections kept per backend server. */
 #define MAX_IDLE 4
 
 static void refusal_free(gpointer data)
@@ -23,8 +23,8 @@
 
 	memset(edge, 0, sizeof(*edge));
 	/*
-	 * The parser's own limit, 80 KB, is below what an operator may allow:
-	 * heads between the two were turned away for good.
+	 * The parser's default limit, 80 KB, is below the largest limit an
+	 * operator may set: it rejected heads that the settings allowed.
 	 */
 	http_parser_set_max_header_size(REQUEST_HEAD_MAX_BYTES);
 	edge->loop = loop;
@@ -106,8 +106,8 @@
 bool edge_take_extra(struct edge *edge, const char *service)
 {
 	/*
-	 * A node that has read no member list yet, or was cut off from it, must
-	 * not take the whole allowance for its own.
+	 * The allowance is shared by all nodes. A node that has no member list
+	 * yet, or is partitioned from it, must not use all of it alone.
 	 */
 	uint32_t nodes = MAX(member_table_count(edge->members),
 			     edge->settings.nodes_least);
--- a/packages/edge/edge.h
+++ b/packages/edge/edge.h
@@ -1,9 +1,9 @@
 /*
- * edge - what the parts of a node share
+ * edge - state that the modules of a node share
  *
- * All of it lives on one thread, the event loop's: on a VM with a fifth of a
- * core, threads would add stacks and wake-ups and no work done. Parts read and
- * change it without locks.
+ * It is used only on the event loop's thread, so modules read and change it
+ * without locks. A node is single-threaded because its VM has a fifth of a
+ * core: more threads would cost stacks and wake-ups and do no more work.
  */
 #ifndef EDGE_EDGE_H
 #define EDGE_EDGE_H
@@ -37,19 +37,20 @@
 struct sync;
 
 /*
- * Sweeps are due every 200 ms. After one that comes so late, and for so long,
- * what is read may have waited in the kernel for over a tenth of a second. A
- * server must not get a request half a second after its caller has left.
+ * Sweeps are due every 200 ms. If one is this much after the previous one, the
+ * process was paused, and for the same time from then on data read may have
+ * waited in the kernel for over 100 ms. A server must not get a request half a
+ * second after its caller has left.
  */
 #define EDGE_STALE_PAUSE_US (300 * 1000ull)
 
-/* Answers of the node's own with one cause. */
+/* Generated answers with one cause, for operators. */
 struct refusal {
 	char *cause;
-	uint16_t status; /* of the latest */
+	uint16_t status; /* HTTP status of the latest */
 	uint64_t count;
 	uint64_t last_us;
-	char last_request_id[ID_SIZE]; /* the latest request's */
+	char last_request_id[ID_SIZE]; /* id of the latest request */
 };
 
 struct edge {
@@ -68,22 +69,22 @@
 	GHashTable *budgets; /* service -> struct extra_budget */
 	GHashTable *refusals; /* cause -> struct refusal */
 	struct pool pool;
-	struct sync *sync; /* what follows the tables; NULL before */
-	struct gossip *gossip; /* what beats to the others; NULL: none */
-	struct crash_watch *crashes; /* NULL: nothing is ever suspected */
-	struct quarantine_store *quarantines; /* NULL: none are kept */
+	struct sync *sync; /* follows the platform's tables; NULL: closed */
+	struct gossip *gossip; /* exchanges heartbeats; NULL: off */
+	struct crash_watch *crashes; /* NULL: crashes aren't detected */
+	struct quarantine_store *quarantines; /* NULL: not stored */
 	struct stats stats;
 
-	uint64_t began_us; /* when this life of the node began */
-	bool any_rate_limited; /* some backend server may have named a rate */
-	uint32_t rates_sent; /* servers' rates told in this round of beats */
+	uint64_t began_us; /* when the process started */
+	bool any_rate_limited; /* some backend server may have set a rate */
+	uint32_t rates_sent; /* rates sent in this round of heartbeats */
 	bool stopping;
 	uint64_t stopping_us; /* when the stop began */
 	uint32_t exchanges; /* requests in flight */
 	GQueue callers; /* of struct caller, connections that are open */
-	uint64_t last_sweep_us; /* when their time-outs were last looked at */
-	uint64_t stale_until_us; /* after a standstill: what is read is old */
-	uint64_t pause_began_us; /* when that standstill began, or before */
+	uint64_t last_sweep_us; /* last check of their timeouts */
+	uint64_t stale_until_us; /* data read until then may be stale */
+	uint64_t pause_began_us; /* latest time before the pause */
 };
 
 static inline uint64_t edge_now_us(const struct edge *edge)
@@ -92,9 +93,9 @@
 }
 
 /*
- * Whether the process stood still just now, so that what is read may be old. A
- * process that is suspended while it waits for its sockets reads them before
- * its timers run: then the last sweep tells, which is overdue.
+ * Whether the process was paused just now, so that data read may be stale. A
+ * process that is suspended while it polls its sockets reads them before its
+ * timers run; the pause then shows only in the overdue sweep.
  */
 static inline bool edge_reads_may_be_stale(const struct edge *edge)
 {
@@ -104,7 +105,7 @@
 	       now_us - edge->last_sweep_us >= EDGE_STALE_PAUSE_US;
 }
 
-/* When what is read now had come at the earliest. */
+/* The earliest time at which data read now may have arrived. */
 static inline uint64_t edge_earliest_arrival_us(const struct edge *edge)
 {
 	uint64_t now_us = edge_now_us(edge);
@@ -115,20 +116,28 @@
 					       edge->last_sweep_us;
 }
 
-/* Make and free the tables; the loop's handles are not among them. */
+/*
+ * Create and free the tables. The event loop's handles (listeners, timers)
+ * belong to their modules.
+ */
 void edge_init(struct edge *edge, uv_loop_t *loop, const struct clock *clock,
 	       const struct dialect *dialect, const struct registry *registry,
 	       const struct edge_settings *settings);
 void edge_release(struct edge *edge);
 
-/* Whether requests can be served: routes and backend servers are known. */
+/*
+ * Whether requests can be served: routes are known, the backend servers are
+ * loaded and the node isn't stopping.
+ */
 bool edge_is_ready(const struct edge *edge);
 
-/* Account an answer of the node's own, for operators. */
+/* Count a generated answer, for "show refusals". */
 void edge_record_refusal(struct edge *edge, const char *cause, uint16_t status,
 			 const char *request_id);
 
+/* The budget of extra attempts of a service; created at the first use. */
 struct extra_budget *edge_budget(struct edge *edge, const char *service);
+/* Take one extra attempt from the service's budget; false: used up. */
 bool edge_take_extra(struct edge *edge, const char *service);
 
 #ifdef __cplusplus
--- a/packages/edge/main.c
+++ b/packages/edge/main.c
@@ -31,9 +31,9 @@
 		  "settings file (default: $" PLATFORM_SETTINGS_VARIABLE ")",
 		  "FILE" },
 		{ "check", 'c', POPT_ARG_NONE, &options->check, 0,
-		  "check the settings and end", NULL },
+		  "check the settings and exit", NULL },
 		{ "version", 'V', POPT_ARG_NONE, &options->version, 0,
-		  "print the version and end", NULL },
+		  "print the version and exit", NULL },
 		POPT_AUTOHELP POPT_TABLEEND
 	};
 	poptContext context =
--- a/packages/edge/message.c
+++ b/packages/edge/message.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* Headers that concern one connection (RFC 9110, 7.6.1), and the framing. */
+/* Hop-by-hop headers (RFC 9110, 7.6.1), and those of the framing. */
 static const char *const hop_headers[] = {
 	"Connection",
 	"Keep-Alive",
@@ -165,7 +165,7 @@
 		 message_header(message, "Transfer-Encoding"));
 }
 
-/* RFC 9110, 6.4.1: their Content-Length tells of another answer's body. */
+/* RFC 9110, 6.4.1: Content-Length of these isn't the length of a body. */
 static bool status_has_no_body(const http_parser *parser)
 {
 	return parser->type == HTTP_RESPONSE &&
@@ -274,7 +274,7 @@
 		*used = offset;
 		if (reader->state != MESSAGE_WHOLE || !is_interim(reader))
 			break;
-		/* "100 Continue" and its like announce the answer proper. */
+		/* 1xx answers precede the final one, which is read next. */
 		message_reader_next(reader, reader->no_body);
 	} while (offset < length);
 	if (reader->state == MESSAGE_PARTIAL &&
--- a/packages/edge/run.c
+++ b/packages/edge/run.c
@@ -14,28 +14,29 @@
 #include "edge/server_limits.h"
 #include "edge/sync.h"
 
-/* How often time-outs of connections are looked at. */
+/* How often connection timeouts and the like are checked. */
 #define TICK_US (200 * US_PER_MS)
 
 /*
- * How often the settings file is read for a change that no signal told of, and
- * members are looked at for ones that are lost.
+ * How often the settings file is reloaded, for a change without a SIGHUP, and
+ * lost members are removed.
  */
 #define SETTINGS_POLL_US (2 * US_PER_S)
 
 /*
- * A tick so late means that the machine stood still: connections may be dead
- * and what is known is old.
+ * A longer time between two ticks means that the VM was suspended: connections
+ * may be dead and the tables out of date.
  */
 #define SUSPENDED_MIN_US (1500 * US_PER_MS)
 
 /*
- * A stop in steps. Callers keep look-ups for a while, up to three times as long
- * as told, so requests are taken for that time; what is in flight then ends.
+ * Callers cache lookups for up to this many times the TTL they were given. A
+ * node that stops accepts requests for that long, then finishes those in
+ * flight.
  */
 #define STOP_LOOKUP_PERIODS 3
 
-/* Kept back of the time for a stop, to end by ourselves. */
+/* The stop ends this long before its deadline, when it would be killed. */
 #define STOP_MARGIN_US (300 * US_PER_MS)
 
 enum { AT_FRONT, AT_READY, AT_LOOKUP, AT_OPERATORS, AT_PEERS, LISTENERS };
@@ -90,7 +91,7 @@
 		  moved ? "yes" : "no");
 }
 
-/* A bad file changes nothing: what is in force is good. */
+/* An invalid file is logged and the current settings stay. */
 static void reload_settings(struct run *run)
 {
 	struct edge_settings fresh;
@@ -132,10 +133,10 @@
 }
 
 /*
- * Timers come before reads. While a node that stops read a large document,
- * requests came to its listener and on its idle connections; closed at that
- * tick, they ended without an answer. So closing waits for a tick that isn't
- * late, unless the time for the stop is over.
+ * The loop runs timers before reads. While a stopping node reads a large
+ * document, requests may arrive at its listener and on idle connections; if
+ * these were closed at the next tick, the requests would get no answer. So
+ * nothing is closed until a tick is on time, unless the stop's time is over.
  */
 static void continue_stop(struct run *run)
 {
@@ -183,8 +184,8 @@
 }
 
 /*
- * What was known before a suspension is old: servers have left, connections
- * were dropped. Kept connections go, and the tables are asked for at once.
+ * After a suspension servers may have left and connections may be dead: drops
+ * the idle connections and requests the tables at once.
  */
 static void recover_from_suspension(struct run *run, uint64_t suspended_us)
 {
@@ -306,6 +307,6 @@
 		  settings->domain, settings->region, settings->front.address,
 		  settings->front.port);
 	uv_run(&run->loop, UV_RUN_DEFAULT);
-	/* The process ends here: its sockets close with it, all at once. */
+	/* The process exits now, which closes all sockets and frees memory. */
 	return true;
 }
--- a/packages/edge/run.h
+++ b/packages/edge/run.h
@@ -1,5 +1,5 @@
 /*
- * run - a node from start to stop
+ * run - runs a node from start to stop
  */
 #ifndef EDGE_RUN_H
 #define EDGE_RUN_H
@@ -14,9 +14,10 @@
 #endif
 
 /*
- * Serve until SIGTERM or SIGINT has brought the stop to its end. SIGHUP, and a
- * change of the file, bring the settings in force that may change.
- * RESULT_SYSTEM where a listener can't be opened.
+ * Serve until a stop, begun by SIGTERM or SIGINT, has finished. Settings that
+ * may change at run time are reloaded on SIGHUP and every two seconds.
+ * Returns false and sets error (RESULT_SYSTEM) if a listener or the gossip
+ * socket can't be opened.
  */
 bool run_node(const struct edge_settings *settings, const char *settings_path,
 	      const struct dialect *dialect, const struct registry *registry,
