--- a/packages/edge/admin.c
+++ b/packages/edge/admin.c
@@ -7,7 +7,7 @@
 #include "core/result.h"
 #include "edge/admin_internal.h"
 
-/* Where each command is given on this platform. */
+/* Who does on this platform what the command asks for; NULL: this node. */
 static const char *command_hint(enum query_verb verb)
 {
 	switch (verb) {
--- a/packages/edge/admin.h
+++ b/packages/edge/admin.h
@@ -1,12 +1,11 @@
 /*
- * admin - what a node answers to its operators
+ * admin - answers operators' queries and commands
  *
- * Sentences of the operators' language (docs/LANGUAGE.md), answered from what
- * this node believes, with the age of it. Nothing is claimed or changed by
- * asking. Commands are refused with the way that the platform has for them:
- * what is desired is written by the platform's operator alone.
- *
- * Source: docs/API.md has the shapes.
+ * Runs sentences of the operators' language (docs/LANGUAGE.md) against this
+ * node's state and returns it with its age. Queries change nothing. Of the
+ * commands only "quarantine" and "release" are carried out; the others are
+ * refused with a hint at who can do it, since the desired state is written by
+ * the platform's operator only. docs/API.md describes the JSON.
  */
 #ifndef EDGE_ADMIN_H
 #define EDGE_ADMIN_H
@@ -19,8 +18,8 @@
 #endif
 
 /*
- * Answer the body of POST /v1/command, length bytes. The JSON text is for
- * g_free(); *result is its code, from which the HTTP status follows.
+ * Carry out the body of POST /v1/command, length bytes. Returns the answer's
+ * JSON text, to free by g_free(); *result determines the HTTP status.
  */
 char *admin_command(struct edge *edge, const char *body, size_t length,
 		    enum result *result);
--- a/packages/edge/admin_internal.h
+++ b/packages/edge/admin_internal.h
@@ -1,5 +1,5 @@
 /*
- * admin_parts - what the files of admin share; not for other modules
+ * admin_internal - shared by the admin_*.c files only
  */
 #ifndef EDGE_ADMIN_INTERNAL_H
 #define EDGE_ADMIN_INTERNAL_H
@@ -10,15 +10,25 @@
 #include "core/query.h"
 #include "edge/edge.h"
 
-/* The answer to each kind of question; NULL and an error on failure. */
+/*
+ * Each returns the JSON answer to a kind of query, for the caller to release,
+ * or NULL and sets error.
+ */
 json_t *admin_show_where(const struct edge *edge, const struct query *query,
 			 GError **error);
+
+/* Move the table into an answer with the message "N what". */
 json_t *admin_finish_table(const struct edge *edge, struct admin_table *table,
 			   const char *what);
+
 json_t *admin_show_suspects(const struct edge *edge);
 json_t *admin_show_limits(const struct edge *edge);
+
+/* Quarantine or release a request by its fingerprint. */
 json_t *admin_change_suspect(struct edge *edge, const struct query *query,
 			     GError **error);
+
+/* Any "show" query. */
 json_t *admin_show_table(const struct edge *edge, const struct query *query,
 			 GError **error);
 
--- a/packages/edge/admin_show.c
+++ b/packages/edge/admin_show.c
@@ -8,7 +8,7 @@
 #include "core/result.h"
 #include "edge/sync.h"
 
-/* Shares as whole thousandths, as all tables of the language have them. */
+/* A share as a whole number of thousandths, as in all tables for operators. */
 static json_t *permille(double share)
 {
 	return admin_json_number((uint64_t)(share * 1000 + 0.5));
@@ -25,7 +25,10 @@
 				    now_us - since_us);
 }
 
-/* Values of a table in the order of their names, for g_list_free(). */
+/*
+ * The hash table's values, sorted by key. Free the list by g_list_free(); the
+ * values stay the table's.
+ */
 static GList *values_by_name(GHashTable *by_name)
 {
 	GList *names = g_list_sort(g_hash_table_get_keys(by_name),
--- a/packages/edge/admin_suspects.c
+++ b/packages/edge/admin_suspects.c
@@ -20,7 +20,7 @@
 	return suspect->until_us > now_us ? "quarantined" : "to be tried";
 }
 
-/* The servers that ended, by their ids where these are still known. */
+/* The crashed servers: ids, or incarnations of servers no longer listed. */
 static char *servers_of(const struct edge *edge, const struct suspect *suspect)
 {
 	GString *text = g_string_new(NULL);
--- a/packages/edge/admin_where.c
+++ b/packages/edge/admin_where.c
@@ -8,7 +8,7 @@
 #include "core/hash.h"
 #include "core/result.h"
 
-/* The first route, by name, that goes to the service; NULL if there is none. */
+/* The first route by name that leads to the service, or NULL. */
 static struct route *route_to(const struct edge *edge, const char *service)
 {
 	struct route *found = NULL;
@@ -39,8 +39,8 @@
 }
 
 /*
- * What another region's nodes would do is theirs to say: they know other loads,
- * and their own links.
+ * Only places of this node's region can be answered for: nodes of other regions
+ * have other load reports, and latencies of their own links.
  */
 static bool check_domain(const struct edge *edge, const char *domain,
 			 GError **error)
@@ -83,7 +83,7 @@
 	return true;
 }
 
-/* What a choice in this region or out of it takes; NULL if there is none. */
+/* The choice: the best of this region, else of the others, else NULL. */
 static const struct choose_view *best_of(const GArray *views)
 {
 	const struct choose_view *best = NULL;
--- a/packages/edge/crash_watch.c
+++ b/packages/edge/crash_watch.c
@@ -8,18 +8,20 @@
 #include "edge/gossip.h"
 #include "edge/quarantine_store.h"
 
-/* Requests that broke off and aren't judged yet. */
+/* Requests that are checked at a time. */
 #define MAX_BROKEN_REQUESTS 128
 
-/* How often servers are looked at, and when one that answers nothing is left.
+/*
+ * Time to the first check and between checks. A server that doesn't react
+ * within the timeout counts as alive.
  */
 #define FIRST_CHECK_US (2 * US_PER_MS)
 #define CHECK_INTERVAL_US (20 * US_PER_MS)
 #define CHECK_TIMEOUT_US (1 * US_PER_S)
 
 /*
- * So many servers of a failure domain that end within this time have a cause in
- * common, and it isn't what ran there.
+ * If this many servers of a failure domain crash within this time, it is an
+ * outage of the domain, which no request caused.
  */
 #define DOMAIN_OUTAGE_SERVERS 3
 #define DOMAIN_OUTAGE_US (60 * US_PER_MS)
@@ -28,7 +30,7 @@
 	struct backend *backend; /* holds a reference */
 	uint64_t fingerprint;
 	uint64_t sent_us;
-	uint64_t at_us;
+	uint64_t at_us; /* when its connection ended */
 	bool probed; /* a connection was tried since */
 	char text[SUSPECT_TEXT_SIZE];
 };
@@ -45,7 +47,7 @@
 
 /* --- probes ------------------------------------------------------------- */
 
-/* A connection that is opened to see whether the server takes it. */
+/* A connection opened to see whether the server accepts it. */
 struct probe {
 	struct conn_user user; /* first member */
 	struct crash_watch *watch;
@@ -114,7 +116,7 @@
 		g_free(probe);
 }
 
-/* A server that fell silent neither takes a connection nor refuses it. */
+/* An unreachable server neither accepts a connection nor refuses it. */
 static void drop_stalled_probes(struct crash_watch *watch, uint64_t now_us)
 {
 	struct probe *oldest = g_queue_peek_head(&watch->probes);
@@ -125,7 +127,7 @@
 	}
 }
 
-/* --- judging ------------------------------------------------------------ */
+/* --- deciding ----------------------------------------------------------- */
 
 static enum verdict decide(const struct broken_request *request,
 			   uint64_t now_us)
@@ -210,7 +212,10 @@
 	watch->requests[at] = watch->requests[--watch->count];
 }
 
-/* No other connection is left that could tell. */
+/*
+ * Tries to connect if no connection to the server is left, whose end or answer
+ * would decide the check. One probe serves all requests at the server.
+ */
 static void probe_once(struct crash_watch *watch,
 		       struct broken_request *request)
 {
--- a/packages/edge/crash_watch.h
+++ b/packages/edge/crash_watch.h
@@ -1,11 +1,11 @@
 /*
- * crash_watch - whether a backend server ended where a request broke off
+ * crash_watch - finds out whether a backend server crashed on a request
  *
- * A connection that ends without an answer was reset, or cut, or its server has
- * ended. Only in the last case do all connections to the server end, and new
- * ones are refused. What is left to tell these apart a moment later goes into
- * the table of suspects, to the other nodes, and, where a quarantine begins, to
- * the platform's store. Not thread-safe.
+ * A connection that ends without an answer was reset, or the network failed, or
+ * the server crashed. Only after a crash do all connections to the server end
+ * and are new ones refused, which is checked a moment later. A crash is
+ * recorded in the suspect table, sent to the other nodes and, if a quarantine
+ * begins, written to the platform's store. Not thread-safe.
  */
 #ifndef EDGE_CRASH_WATCH_H
 #define EDGE_CRASH_WATCH_H
@@ -18,25 +18,34 @@
 
 struct crash_watch;
 
-/* By when it is known of most servers whether they have ended. */
+/* Most checks are decided within this time. */
 #define CRASH_WATCH_CHECK_US (4 * US_PER_MS)
 
+/* Create the watch, and set edge->crashes to it. */
 struct crash_watch *crash_watch_open(struct edge *edge);
-/* The memory may be freed once the loop has turned. */
+
+/*
+ * Drop all checks and close the timer. The caller frees the memory, by g_free()
+ * once the event loop has run the timer's close.
+ */
 void crash_watch_close(struct crash_watch *watch);
 
 /*
- * A request that was sent at sent_us broke off at the server. text says which
- * request it is.
+ * Check a request whose connection to the server, where it was sent at sent_us,
+ * ended without an answer. text describes the request to operators. At most 128
+ * requests are checked at a time; others are ignored.
  */
 void crash_watch_record_broken(struct crash_watch *watch,
 			       struct backend *backend, uint64_t fingerprint,
 			       uint64_t sent_us, const char *text);
 
-/* Whether any request that broke off isn't judged yet. */
+/* Whether any check isn't decided yet. */
 bool crash_watch_is_busy(const struct crash_watch *watch);
 
-/* Whether it broke off just now, and isn't judged yet. */
+/*
+ * Whether a check of this request is undecided and began less than
+ * CRASH_WATCH_CHECK_US ago.
+ */
 bool crash_watch_is_checking(const struct crash_watch *watch,
 			     uint64_t fingerprint);
 
--- a/packages/edge/edge.h
+++ b/packages/edge/edge.h
@@ -135,9 +135,9 @@
 void edge_record_refusal(struct edge *edge, const char *cause, uint16_t status,
 			 const char *request_id);
 
-/* The budget of extra attempts of a service; created at the first use. */
+/* The budget of extra requests of a service; created at the first use. */
 struct extra_budget *edge_budget(struct edge *edge, const char *service);
-/* Take one extra attempt from the service's budget; false: used up. */
+/* Take one extra request from the service's budget; false: used up. */
 bool edge_take_extra(struct edge *edge, const char *service);
 
 #ifdef __cplusplus
--- a/packages/edge/server_limits.c
+++ b/packages/edge/server_limits.c
@@ -5,16 +5,16 @@
 #include "edge/gossip.h"
 
 /*
- * A node that starts may displace another as a sender, which hears of it within
- * two seconds; until then both would use the part.
+ * A node that starts may replace another as a quota holder, which receives the
+ * new member list within two seconds; until then both would use the quota. So a
+ * node uses none for this long after its start.
  */
 #define QUOTA_DELAY_US (5 * US_PER_S)
 
-/* Times that a rate is told to all nodes at once, for a datagram may be lost.
- */
+/* How often a new rate is broadcast, since datagrams may be lost. */
 #define BROADCAST_COUNT 2
 
-/* Between two times that a server's rate is told to all nodes at once. */
+/* Minimum time between two broadcasts of a server's rate. */
 #define BROADCAST_INTERVAL_US (200 * US_PER_MS)
 
 static double quota_of(const struct edge *edge, const struct backend *backend)
@@ -106,7 +106,7 @@
 	return true;
 }
 
-/* One of the senders, for so many tokens, unless it is asked already. */
+/* Requests tokens from one quota holder, unless an answer of it is due. */
 static void borrow_from_one(struct edge *edge, struct backend *backend,
 			    uint32_t tokens)
 {
@@ -129,7 +129,10 @@
 		return false;
 	tokens = rate_limit_begin_asking(&backend->limit, round_trip_us,
 					 edge_now_us(edge));
-	/* A second question would cost the way once more. */
+	/*
+	 * A second request would cost another round trip, so several holders
+	 * are asked at once if that takes time.
+	 */
 	holders = round_trip_us ? MIN(tokens, RATE_LIMIT_ASKS_MOST) : 1;
 	for (i = 0; i < holders; i++)
 		borrow_from_one(edge, backend,
@@ -195,7 +198,7 @@
 	return count;
 }
 
-/* Those that were passed over this time are told the next time. */
+/* Rates beyond max_count are sent with the next heartbeats. */
 uint32_t server_limits_heartbeat_updates(struct edge *edge,
 					 struct rate_word *updates,
 					 uint32_t max_count)
--- a/packages/edge/server_limits.h
+++ b/packages/edge/server_limits.h
@@ -1,8 +1,9 @@
 /*
- * server_limits - rates that backend servers named, at this node
+ * server_limits - applies rate limits of backend servers at this node
  *
- * Joins what answers and neighbours say with the members' table, which says
- * what part of each rate is this node's.
+ * Rates come from servers' answers and from updates of peers; this node's quota
+ * of each rate follows from the member table (core/rate_limit). Not
+ * thread-safe.
  */
 #ifndef EDGE_SERVER_LIMITS_H
 #define EDGE_SERVER_LIMITS_H
@@ -16,32 +17,39 @@
 extern "C" {
 #endif
 
-/* The server's answer to what was sent then; it may name a rate or none. */
+/*
+ * Apply an answer of the server, with or without a rate, to a request sent at
+ * sent_us. An invalid rate is counted, logged the first time and ignored.
+ */
 void server_limits_apply_answer(struct edge *edge, struct backend *backend,
 				const struct message *answer, uint64_t sent_us);
 
-/* A neighbour's word; false where it can't be true. */
+/* Apply a peer's update; false if it is invalid. */
 bool server_limits_apply_update(struct edge *edge,
 				const struct rate_word *update);
 
 /*
- * Ask one of the server's senders for tokens, over a way of so long there and
- * back; whether one was asked. Its answer comes in a moment, or never.
+ * Request tokens from some of the server's quota holders. round_trip_us: to
+ * these and back; 0: in this region, where one is asked. Returns whether an
+ * answer is due; it may get lost.
  */
 bool server_limits_borrow(struct edge *edge, struct backend *backend,
 			  uint64_t round_trip_us);
 
-/* A member asks for tokens, or answers; whether it gets an answer to that. */
+/*
+ * Handle a peer's request for tokens, or its answer to one. Returns whether
+ * answer was filled in, to be sent back.
+ */
 bool server_limits_handle_token(struct edge *edge, const struct member *from,
 				const struct beat_token *token,
 				struct beat_token *answer);
 
-/* This node's parts, by the members as they are known now. */
+/* Recompute this node's quotas from the member table. */
 void server_limits_update_quotas(struct edge *edge);
 
 /*
- * Words to tell, at most most: those that all should hear at once, or with a
- * beat some of all in turn. Returns how many.
+ * Fill in at most max_count updates: those to broadcast now, or for a heartbeat
+ * the next ones of all rates in turn. Return how many.
  */
 uint32_t server_limits_broadcast_updates(struct edge *edge,
 					 struct rate_word *updates,
@@ -49,6 +57,8 @@
 uint32_t server_limits_heartbeat_updates(struct edge *edge,
 					 struct rate_word *updates,
 					 uint32_t max_count);
+
+/* Whether any update is left to broadcast. */
 bool server_limits_have_broadcast(const struct edge *edge);
 
 #ifdef __cplusplus
