--- a/tests/edge/admin_test.cc
+++ b/tests/edge/admin_test.cc
@@ -1,4 +1,4 @@
-/* What operators ask a node, over its own HTTP. */
+/* Operators' queries and commands to a node, over HTTP. */
 #include <jansson.h>
 
 #include "edge/edge_world.h"
@@ -29,7 +29,7 @@
 		listener_close(&operators);
 		EdgeWorld::TearDown();
 	}
-	/* Ask; the answer's JSON stays until the next one. */
+	/* Returns the answer's JSON, valid until the next call. */
 	json_t *ask(const std::string &sentence)
 	{
 		json_t *body = json_pack("{s:s}", "sentence", sentence.c_str());
@@ -62,7 +62,7 @@
 	{
 		return json_string_value(json_object_get(answer, "message"));
 	}
-	/* The row whose first member is this, or NULL. */
+	/* The first row with this value in the column, or NULL. */
 	json_t *row(const char *column, const std::string &value) const
 	{
 		json_t *rows = json_object_get(answer, "rows");
@@ -92,7 +92,7 @@
 	const char *sentence;
 	int status;
 	int result;
-	const char *message_part; /* part of the message */
+	const char *message_part; /* in the answer's message */
 };
 
 const sentence_case sentence_cases[] = {
@@ -157,7 +157,7 @@
 	EXPECT_EQ("cleared", text(row("fingerprint", fingerprint), "state"));
 }
 
-/* A server that named a rate, and what part of it is this node's. */
+/* A server's rate is listed with this node's quota of it. */
 TEST_F(AdminTest, LimitsAreListedWithTheNodesQuota)
 {
 	struct backend *backend = backend_table_find(edge->backends, "i-1");
@@ -174,7 +174,7 @@
 		1.5, json_real_value(json_object_get(listed, "part_per_s")));
 }
 
-/* Where a request goes, as told, is where the next one does go. */
+/* Guards against "where" naming another server than the next request gets. */
 TEST_F(AdminTest, WhereMatchesTheNextChoice)
 {
 	ask("where s from d1 object 7");
@@ -189,13 +189,13 @@
 	std::string got = answer_to(get("a1", "/r/"));
 	EXPECT_NE(std::string::npos, got.find("by " + predicted + " run 1"))
 		<< predicted << got;
-	/* It is warm for the object now, and no other is. */
+	/* Now the server is warm for the object. */
 	ask("where s from d1 object 7");
 	EXPECT_TRUE(json_is_true(
 		json_object_get(row("backend", predicted), "warm")));
 }
 
-/* Asking claims nothing: the same question has the same answer. */
+/* Guards against queries changing state: the same query has the same answer. */
 TEST_F(AdminTest, QueriesChangeNothing)
 {
 	std::string first = text(
@@ -212,7 +212,7 @@
 	EXPECT_EQ(0.0, metric_value(edge->stats.sent));
 }
 
-/* Why a server gets nothing stands in its row. */
+/* The row of a server that gets no requests says why. */
 TEST_F(AdminTest, ReasonForExcludingAServerIsShown)
 {
 	list_app(apps[0], "draining");
@@ -233,7 +233,7 @@
 		json_is_true(json_object_get(row("place", "d2"), "evacuated")));
 }
 
-/* A caller got a 503: its cause, and the latest request's id, are there. */
+/* Refusals are listed with their cause, count and the latest request's id. */
 TEST_F(AdminTest, RefusalsAreCountedByCause)
 {
 	for (App &app : apps)
@@ -248,7 +248,7 @@
 	EXPECT_EQ("lost-2", text(one, "last_request"));
 }
 
-/* Bodies that are no question: a clear error, and the node goes on. */
+/* Guards against invalid bodies stopping the node or getting no error. */
 TEST_F(AdminTest, BadBodiesAreRejected)
 {
 	for (const char *body :
--- a/tests/edge/crash_test.cc
+++ b/tests/edge/crash_test.cc
@@ -1,4 +1,4 @@
-/* Requests that crash the backend servers that run them. */
+/* Requests that crash the backend servers running them. */
 #include <cinttypes>
 #include <cstring>
 
@@ -31,12 +31,10 @@
 };
 
 /*
- * Users saw one service's servers crash one after another, 25 of them in 16 s,
- * its callers served late or not at all, and the rest of the system well. A
- * caller brought one request again and again, each time under a new id; a node
- * sent it to as many servers as its route allows, each time, since nothing
- * connected two tries that differ by their id. Evidence: the nodes' logs name
- * one method, path and body, by its fingerprint, at each server that ended.
+ * Guards against one request crashing a service's servers one after another (25
+ * in 16 s). A caller repeated it under a new id each time, and each time the
+ * node sent it to as many servers as the route allows, since a new id made it
+ * another request; its fingerprint (method, path, body) is the same each time.
  */
 TEST_F(CrashTest, RepeatedRequestCrashesAtMostThreeServers)
 {
@@ -50,7 +48,7 @@
 struct repeated_case {
 	const char *name;
 	const char *path;
-	int status; /* at the first try */
+	int status; /* of the first try */
 };
 
 const repeated_case repeated_cases[] = {
@@ -63,7 +61,10 @@
 {
 };
 
-/* Guards against callers of a quarantined request waiting, or hammering. */
+/*
+ * Guards against callers of a quarantined request waiting for an answer, or
+ * repeating it without a pause.
+ */
 TEST_P(RepeatedRequestTest, IsRefusedAtOnceAsNotRun)
 {
 	const repeated_case &c = GetParam();
@@ -89,7 +90,10 @@
 			 ::testing::ValuesIn(repeated_cases),
 			 [](const auto &info) { return info.param.name; });
 
-/* Guards against a suspect being held until its deadline by its claim. */
+/*
+ * Guards against a suspect waiting for its claim until its deadline, where
+ * there isn't enough time for the claim.
+ */
 TEST_F(CrashTest, SuspectWithoutTimeForAClaimIsRefusedAtOnce)
 {
 	add_apps(6);
@@ -107,7 +111,7 @@
 	EXPECT_EQ(2, count_crashed());
 }
 
-/* Guards against those that shared a server with it losing their answers. */
+/* Guards against requests that share a server with a suspect being lost. */
 TEST_F(CrashTest, RequestsOnTheSameServersAreServed)
 {
 	std::vector<std::unique_ptr<RawCaller>> callers;
@@ -126,7 +130,7 @@
 	EXPECT_EQ(3, count_crashed());
 }
 
-/* Guards against one reset connection passing for a server's end. */
+/* Guards against one reset connection being taken for a crash. */
 TEST_F(CrashTest, AResetOfTheOnlyConnectionMakesNoSuspect)
 {
 	App &app = add_app("i-1");
@@ -139,7 +143,7 @@
 	EXPECT_FALSE(crash_watch_is_busy(edge->crashes));
 }
 
-/* Guards against what ran in a failure domain that lost power. */
+/* Guards against suspects from a power loss of a whole failure domain. */
 TEST_F(CrashTest, DomainOutageMakesNoSuspects)
 {
 	std::vector<std::unique_ptr<RawCaller>> callers;
@@ -170,7 +174,7 @@
 	EXPECT_EQ(0u, edge->suspects->count);
 }
 
-/* Guards against broken connections of servers that live quarantining. */
+/* Guards against quarantines from broken connections of live servers. */
 TEST_F(CrashTest, BrokenConnectionsOfLiveServersQuarantineNothing)
 {
 	add_app("i-1");
@@ -188,7 +192,7 @@
 	EXPECT_EQ(200, status_of(answer_to(get("last", "/r/x"))));
 }
 
-/* Guards against the death of all nodes freeing what they had quarantined. */
+/* Guards against quarantines being lost when all nodes restart. */
 class CrashStoreTest : public CrashTest
 {
       protected:
@@ -237,7 +241,10 @@
 	EXPECT_NE(nullptr, strstr(row("/r/deadly"), "GET /r/deadly"));
 }
 
-/* Guards against the row of one that another explains outliving all nodes. */
+/*
+ * Guards against the row of a request staying in the store after its crashes
+ * have been attributed to another request.
+ */
 TEST_F(CrashStoreTest, RowIsDeletedWithItsQuarantine)
 {
 	add_apps(6);
@@ -309,7 +316,7 @@
 			 ::testing::ValuesIn(row_cases),
 			 [](const auto &info) { return info.param.name; });
 
-/* Guards against rows beyond the first answer's 500 never being read. */
+/* Guards against rows after the store's first page of 500 not being read. */
 TEST_F(CrashStoreTest, AllPagesOfRowsAreRead)
 {
 	for (int i = 0; i < 600; i++)
@@ -325,7 +332,7 @@
 	EXPECT_EQ(0u, app_stand_total_runs(apps[0].stand));
 }
 
-/* Guards against rows of quarantines that ended staying for ever. */
+/* Guards against rows of expired quarantines never being deleted. */
 TEST_F(CrashStoreTest, ExpiredRowIsRemoved)
 {
 	put_row("/r/x", "{\"rounds\":1,\"left_ms\":300000,\"written_ms\":1000,"
@@ -336,7 +343,7 @@
 	EXPECT_EQ(200, status_of(answer_to(get("a1", "/r/x"))));
 }
 
-/* Guards against a start that sends before it has read what is quarantined. */
+/* Guards against a node sending requests before it has read the quarantines. */
 TEST_F(CrashStoreTest, NothingIsSentBeforeTheRowsAreRead)
 {
 	struct store_faults faults = {};
@@ -355,7 +362,7 @@
 	EXPECT_EQ(200, status_of(answer_to(get("a3", "/r/y"))));
 }
 
-/* Guards against a release that comes while the row is being written. */
+/* Guards against a release being lost that comes during the row's write. */
 TEST_F(CrashStoreTest, RowThatChangesDuringAWriteIsWrittenAgain)
 {
 	struct store_faults faults = {};
@@ -375,7 +382,7 @@
 		  store_stand_get(store, "quarantines", "0000000000000007"));
 }
 
-/* Guards against a store that is away losing what was to be kept. */
+/* Guards against quarantines being lost that begin while the store is down. */
 TEST_F(CrashStoreTest, RowIsWrittenWhenTheStoreIsBack)
 {
 	struct store_faults faults = {};
--- a/tests/edge/edge_world.h
+++ b/tests/edge/edge_world.h
@@ -1,8 +1,9 @@
 /*
- * edge_world - a node, the platform's store and backend servers on one loop
+ * edge_world - a node, the platform's store and backend servers on one event
+ * loop, in this process
  *
- * Everything but the sockets is in this process, and the loop turns only while
- * a test waits for something, so a test sees each state that it asks for.
+ * The loop runs only while a test waits for something, so nothing changes
+ * between a test's statements.
  */
 #ifndef TESTS_EDGE_WORLD_H
 #define TESTS_EDGE_WORLD_H
@@ -30,7 +31,7 @@
 #include "standins/app_stand.h"
 #include "standins/store_stand.h"
 
-/* A caller that writes bytes and keeps what comes back. */
+/* A caller that writes bytes and stores the answer's bytes. */
 class RawCaller
 {
       public:
@@ -67,7 +68,7 @@
 		uv_close((uv_handle_t *)&client_->tcp, on_closed);
 		client_ = nullptr;
 	}
-	/* Leave what comes in the kernel's buffers, as a slow caller does. */
+	/* Stop reading from the socket, as a slow caller does. */
 	void pause()
 	{
 		uv_read_stop((uv_stream_t *)&client_->tcp);
@@ -79,7 +80,7 @@
 	std::string got;
 	bool connected = false;
 	bool ended = false;
-	bool broken = false; /* a write met a reset */
+	bool broken = false; /* a write failed: the connection was reset */
 
       private:
 	struct Client {
@@ -169,7 +170,7 @@
 	{
 		struct endpoint any = endpoint_at(0);
 
-		/* As in the program: a write to a reset connection fails. */
+		/* As in the program: such writes return an error instead. */
 		signal(SIGPIPE, SIG_IGN);
 		ASSERT_TRUE(log_open("n1", "/dev/null", LOG_DEBUG, nullptr));
 		metrics_open();
@@ -197,7 +198,7 @@
 		metrics_close();
 	}
 
-	/* Turn the loop until the condition holds; fails after 20 s. */
+	/* Run the loop until the condition holds; fails after 20 s. */
 	void wait_for(const std::function<bool()> &condition,
 		      const char *what = "condition")
 	{
@@ -227,7 +228,7 @@
 		return endpoint;
 	}
 
-	/* What the operator writes; times in ms. */
+	/* Values in the configuration that put_routes() writes. */
 	std::string timeout = "2000ms";
 	std::string idle_timeout = "15000ms";
 	std::string max_header_bytes = "16384";
@@ -264,9 +265,9 @@
 		store_stand_put(store, "op", "config", text.c_str());
 	}
 
-	uint32_t answer_bytes = 0; /* least size of backend servers' answers */
+	uint32_t answer_bytes = 0; /* minimum size of servers' answers */
 
-	/* For extra_routes: /n0/, /n1/ and so on. */
+	/* Routes for extra_routes, with the prefixes /n0/, /n1/ ... */
 	static std::string numbered_routes(int count)
 	{
 		std::string text;
@@ -284,7 +285,7 @@
 		return text;
 	}
 
-	/* Start a backend server and list it. */
+	/* Start a backend server and write its row into the store. */
 	App &add_app(const std::string &id, uint64_t work_ms = 20,
 		     const std::string &service = "s",
 		     const std::string &domain = "d1", uint32_t slots = 4)
@@ -369,7 +370,7 @@
 				 "the node is ready");
 	}
 
-	/* A neighbour that reads the tables for the region. */
+	/* Add a peer that is the region's reader of the platform's tables. */
 	void add_reader()
 	{
 		struct member *reader =
@@ -407,7 +408,7 @@
 		       id + "\r\nLilacfield-Affinity-Key: 7\r\n" + more +
 		       "\r\n";
 	}
-	/* Send, wait for the whole answer, and return it. */
+	/* Send, wait for the complete answer, and return it. */
 	std::string answer_to(const std::string &bytes)
 	{
 		auto caller = call(bytes);
@@ -468,7 +469,7 @@
 	struct sync *sync = nullptr;
 	struct crash_watch *crashes = nullptr;
 	struct gossip *gossip = nullptr;
-	std::deque<App> apps; /* references to them stay good */
+	std::deque<App> apps; /* a deque: references stay valid */
 	bool node_runs = false;
 
       private:
@@ -480,7 +481,7 @@
 		callers_sweep(edge);
 		pool_sweep(&edge->pool, edge->backends);
 	}
-	/* A timer of our own, so that a turn of the loop always ends. */
+	/* Wakes the loop every 5 ms, so that UV_RUN_ONCE returns. */
 	void start_wakeup_timer()
 	{
 		if (wakeup_timer_runs_)
--- a/tests/edge/message_test.cc
+++ b/tests/edge/message_test.cc
@@ -1,4 +1,4 @@
-/* The reader of requests and answers, however their bytes arrive. */
+/* Reading of requests and answers whose bytes arrive in any pieces. */
 #include <gtest/gtest.h>
 
 #include <random>
@@ -15,9 +15,10 @@
 struct read_result {
 	enum message_state state;
 	size_t used;
-	std::string text; /* status or target, headers, body */
+	std::string text; /* as describe() formats it */
 };
 
+/* TARGET|STATUS|HEADERS|BODY, then |open and |keep where they apply. */
 std::string describe(const struct message *message)
 {
 	GString *headers = g_string_new(nullptr);
@@ -34,7 +35,7 @@
 	return text;
 }
 
-/* Feed the bytes in pieces; the end of the connection follows if asked. */
+/* Feed the bytes in pieces, cut at cuts; ends: then the connection's end. */
 read_result read_in(enum http_parser_type type, const std::string &bytes,
 		    const std::vector<size_t> &cuts, bool ends,
 		    bool no_body = false)
@@ -155,7 +156,7 @@
 	}
 }
 
-/* What follows a message isn't its own: the caller's next request, say. */
+/* Guards against consuming bytes of the next message. */
 TEST(MessageTest, StopsAtItsEnd)
 {
 	for (const message_case &c : cases) {
@@ -179,7 +180,7 @@
 	EXPECT_EQ("|200|A: 1\r\n||keep", result.text);
 }
 
-/* Any bytes at all: a verdict, and no more read than there is. */
+/* Guards against crashes, and reads past the end, on corrupted messages. */
 TEST(MessageTest, RandomBytesAreHandled)
 {
 	std::mt19937 random(11);
--- a/tests/edge/server_limit_test.cc
+++ b/tests/edge/server_limit_test.cc
@@ -1,4 +1,4 @@
-/* Backend servers that name how many requests a second they take. */
+/* Backend servers that limit the rate of their requests. */
 #include "edge/edge_world.h"
 #include "edge/server_limits.h"
 
@@ -8,8 +8,7 @@
 class ServerLimitTest : public EdgeWorld
 {
       protected:
-	/* Requests each 40 ms for so long; what came to the server meanwhile.
-	 */
+	/* Sends a request every 40 ms for ms; returns how many ran at app. */
 	uint32_t runs_within(const App &app, uint64_t ms)
 	{
 		uint32_t before = app_stand_total_runs(app.stand);
@@ -22,7 +21,7 @@
 		}
 		return app_stand_total_runs(app.stand) - before;
 	}
-	/* As one that has run for long: it uses its part of a rate at once. */
+	/* A node that may use its quota: the delay after its start is over. */
 	void start_settled_node()
 	{
 		start_node();
@@ -35,7 +34,7 @@
 	int number = 0;
 };
 
-/* The node goes on sending as much as if nothing had been said. */
+/* Guards against a node sending more than the server's rate. */
 TEST_F(ServerLimitTest, ServerGetsNoMoreThanItsRate)
 {
 	App &limited = add_app("i-1");
@@ -46,7 +45,7 @@
 	EXPECT_LE(runs_within(limited, 4000), 17u);
 }
 
-/* Where there is demand the server gets what it takes. */
+/* Guards against a node sending less than the rate although there is demand. */
 TEST_F(ServerLimitTest, RateIsFullyUsed)
 {
 	App &limited = add_app("i-1");
@@ -59,7 +58,7 @@
 	EXPECT_LE(runs, 11u);
 }
 
-/* What it doesn't take another server does. */
+/* Guards against refusals while another server has capacity. */
 TEST_F(ServerLimitTest, AnotherServerTakesTheRest)
 {
 	App &limited = add_app("i-1");
@@ -75,7 +74,7 @@
 	EXPECT_LE(app_stand_total_runs(limited.stand), 2u);
 }
 
-/* What no server has rate for is refused at once, and has not run. */
+/* Guards against requests that no server has a token for waiting or running. */
 TEST_F(ServerLimitTest, RequestWithoutATokenIsRefusedAtOnce)
 {
 	App &limited = add_app("i-1");
@@ -92,7 +91,10 @@
 	EXPECT_EQ(0u, app_stand_runs(limited.stand, "a2"));
 }
 
-/* The server names none any more: it is filled again, within 3 s. */
+/*
+ * Guards against a burst after the server lifts its rate, and against the rate
+ * staying in force: traffic ramps up within 3 s.
+ */
 TEST_F(ServerLimitTest, TrafficRampsUpAfterTheRateIsLifted)
 {
 	App &limited = add_app("i-1");
@@ -109,7 +111,7 @@
 	EXPECT_GE(runs_within(limited, 400), 9u);
 }
 
-/* Words that aren't a rate, or are two, leave the last good one in force. */
+/* Guards against invalid or repeated headers replacing the last valid rate. */
 TEST_F(ServerLimitTest, InvalidRatesChangeNothing)
 {
 	App &limited = add_app("i-1");
@@ -130,7 +132,7 @@
 	EXPECT_EQ(4u, limit_of("i-1").rejected);
 }
 
-/* A node that only hears of the rate keeps to it as well. */
+/* Guards against a node ignoring a rate that it knows from a peer only. */
 TEST_F(ServerLimitTest, RateOfAPeerIsObeyed)
 {
 	App &limited = add_app("i-1");
@@ -148,7 +150,7 @@
 	EXPECT_EQ(0u, app_stand_total_runs(limited.stand));
 }
 
-/* Ever lower rates, each of them news for all nodes. */
+/* Guards against a broadcast for each of many falling rates. */
 TEST_F(ServerLimitTest, FallingRatesSendBoundedUpdates)
 {
 	struct rate_word sent[BEAT_MAX_RATES];
@@ -170,7 +172,7 @@
 	EXPECT_LE(updates, 8u);
 }
 
-/* Another server has the address now, and names a rate of its own. */
+/* Guards against taking the rate of another server that got the address. */
 TEST_F(ServerLimitTest, RateOfAnotherServerIsIgnored)
 {
 	App &app = add_app("i-1");
