--- a/packages/edge/admin_suspects.c
+++ b/packages/edge/admin_suspects.c
@@ -27,16 +27,16 @@
 	uint32_t i;
 
 	for (i = 0; i < suspect->crash_count; i++) {
-		uint32_t life = suspect->crashes[i].life;
+		uint32_t incarnation = suspect->crashes[i].life;
 		const struct backend *backend =
-			backend_table_find_life(edge->backends, life);
+			backend_table_find_life(edge->backends, incarnation);
 
 		if (i)
 			g_string_append(text, " ");
 		if (backend)
 			g_string_append(text, backend->id);
 		else
-			g_string_append_printf(text, "life-%08x", life);
+			g_string_append_printf(text, "life-%08x", incarnation);
 	}
 	return g_string_free(text, FALSE);
 }
--- a/packages/edge/server_limits.h
+++ b/packages/edge/server_limits.h
@@ -30,8 +30,8 @@
 
 /*
  * Request tokens from some of the server's quota holders. round_trip_us: to
- * these and back; if it is 0, only one is asked. Returns whether an
- * answer is due; it may get lost.
+ * these and back; if it is 0, only one is asked. Returns whether an answer is
+ * due; it may get lost.
  */
 bool server_limits_borrow(struct edge *edge, struct backend *backend,
 			  uint64_t round_trip_us);
--- a/tests/edge/server_limit_test.cc
+++ b/tests/edge/server_limit_test.cc
@@ -138,13 +138,14 @@
 	App &limited = add_app("i-1");
 
 	start_settled_node();
-	uint32_t life = backend_table_find(edge->backends, "i-1")->life;
+	uint32_t incarnation = backend_table_find(edge->backends, "i-1")->life;
 	for (const struct rate_word &absurd :
-	     { rate_word{ life, -1, 0 }, rate_word{ life, 1e300, 0 },
-	       rate_word{ life, 2, 3600ull * 1000000 } })
+	     { rate_word{ incarnation, -1, 0 },
+	       rate_word{ incarnation, 1e300, 0 },
+	       rate_word{ incarnation, 2, 3600ull * 1000000 } })
 		EXPECT_FALSE(server_limits_apply_update(edge, &absurd));
 	EXPECT_DOUBLE_EQ(0, limit_of("i-1").per_s);
-	const struct rate_word update = { life, 1, 0 };
+	const struct rate_word update = { incarnation, 1, 0 };
 	EXPECT_TRUE(server_limits_apply_update(edge, &update));
 	EXPECT_EQ(503, status_of(answer_to(get("a1", "/r/"))));
 	EXPECT_EQ(0u, app_stand_total_runs(limited.stand));
