--- a/packages/edge/admin_suspects.c
+++ b/packages/edge/admin_suspects.c
@@ -1,4 +1,4 @@
-#include "edge/admin_parts.h"
+#include "edge/admin_internal.h"
 
 #include <inttypes.h>
 
@@ -20,23 +20,23 @@
 	return suspect->until_us > now_us ? "quarantined" : "to be tried";
 }
 
-/* The servers that ended, by their ids where these are still known. */
+/* The crashed servers: ids, or incarnations of servers no longer listed. */
 static char *servers_of(const struct edge *edge, const struct suspect *suspect)
 {
 	GString *text = g_string_new(NULL);
 	uint32_t i;
 
 	for (i = 0; i < suspect->crash_count; i++) {
-		uint32_t life = suspect->crashes[i].incarnation;
-		const struct backend *backend =
-			backend_table_find_incarnation(edge->backends, life);
+		uint32_t incarnation = suspect->crashes[i].incarnation;
+		const struct backend *backend = backend_table_find_incarnation(
+			edge->backends, incarnation);
 
 		if (i)
 			g_string_append(text, " ");
 		if (backend)
 			g_string_append(text, backend->id);
 		else
-			g_string_append_printf(text, "life-%08x", life);
+			g_string_append_printf(text, "life-%08x", incarnation);
 	}
 	return g_string_free(text, FALSE);
 }
@@ -78,7 +78,7 @@
 	return admin_finish_table(edge, &table, "suspects");
 }
 
-static json_t *done(const struct query *query)
+static json_t *success_answer(const struct query *query)
 {
 	char *message = g_strdup_printf(
 		"%016" PRIx64 " is %s", query->fingerprint,
@@ -89,8 +89,8 @@
 	return root;
 }
 
-json_t *admin_rule_suspect(struct edge *edge, const struct query *query,
-			   GError **error)
+json_t *admin_change_suspect(struct edge *edge, const struct query *query,
+			     GError **error)
 {
 	uint64_t now_us = edge_now_us(edge);
 	bool releases = query->verb == QUERY_RELEASE;
@@ -115,5 +115,5 @@
 		gossip_schedule_broadcast(edge->gossip);
 	if (edge->quarantines)
 		quarantine_store_write(edge->quarantines, query->fingerprint);
-	return done(query);
+	return success_answer(query);
 }
--- a/packages/edge/exchange.c
+++ b/packages/edge/exchange.c
@@ -252,7 +252,8 @@
 	if (rate_limit_may_borrow(&wanted->limit, now_us)) {
 		if (!is_first && round_trip_us)
 			return false;
-		if (!server_limits_ask(exchange->edge, wanted, round_trip_us))
+		if (!server_limits_borrow(exchange->edge, wanted,
+					  round_trip_us))
 			return false;
 	} else if (is_first) {
 		rate_limit_count_miss(&wanted->limit);
@@ -391,7 +392,7 @@
 	if (!again)
 		finish_after_failure(exchange, outcome, cause);
 	else if (outcome == SEND_BROKEN)
-		hold_for(exchange, CRASH_WATCH_SOON_US);
+		hold_for(exchange, CRASH_WATCH_CHECK_US);
 	else
 		dispatch(exchange);
 }
@@ -561,8 +562,9 @@
 	/* A 421 comes from another server that has the address now. */
 	if (answer->status != 421) {
 		backend_answered(exchange->choice.backend, exchange->sent_us);
-		server_limits_heard(exchange->edge, exchange->choice.backend,
-				    answer, exchange->sent_us);
+		server_limits_apply_answer(exchange->edge,
+					   exchange->choice.backend, answer,
+					   exchange->sent_us);
 	}
 	if (!is_not_executed(exchange, answer))
 		exchange_record_answered(exchange);
--- a/packages/edge/gossip_updates.c
+++ b/packages/edge/gossip_updates.c
@@ -38,12 +38,12 @@
 	heartbeat.suspect_count = suspect_collect_broadcast(
 		edge->suspects, edge->members->self->hash, edge_now_us(edge),
 		heartbeat.suspects, HEARTBEAT_MAX_SUSPECTS);
-	heartbeat.rate_count = server_limits_urgent_words(edge, heartbeat.rates,
-							  HEARTBEAT_MAX_RATES);
+	heartbeat.rate_count = server_limits_broadcast_updates(
+		edge, heartbeat.rates, HEARTBEAT_MAX_RATES);
 	if (heartbeat.suspect_count || heartbeat.rate_count)
 		gossip_send_to_all(gossip, &heartbeat);
 	if (suspect_has_broadcast(edge->suspects) ||
-	    server_limits_are_urgent(edge))
+	    server_limits_have_broadcast(edge))
 		uv_timer_start(timer, on_broadcast_timer, RESEND_US / US_PER_MS,
 			       0);
 }
@@ -82,7 +82,7 @@
 		edge->suspects, edge->members->self->hash, now_us,
 		heartbeat.suspects, SUSPECTS_PER_HEARTBEAT);
 	if (gossip->rounds % ROUNDS_PER_RATES == 0)
-		heartbeat.rate_count = server_limits_words(
+		heartbeat.rate_count = server_limits_heartbeat_updates(
 			edge, heartbeat.rates, RATES_PER_HEARTBEAT);
 	if (heartbeat.suspect_count || heartbeat.rate_count)
 		gossip_send_to_sample(gossip, &heartbeat);
@@ -109,8 +109,8 @@
 	updates.suspect_count = suspect_collect_updates(
 		edge->suspects, edge->members->self->hash, edge_now_us(edge),
 		updates.suspects, HEARTBEAT_MAX_SUSPECTS);
-	updates.rate_count =
-		server_limits_words(edge, updates.rates, HEARTBEAT_MAX_RATES);
+	updates.rate_count = server_limits_heartbeat_updates(
+		edge, updates.rates, HEARTBEAT_MAX_RATES);
 	if (updates.suspect_count || updates.rate_count)
 		gossip_send_to_one(gossip, member, &updates);
 }
@@ -142,8 +142,9 @@
 		return;
 	gossip_add_sender(gossip, &answers);
 	for (i = 0; i < heartbeat->token_count; i++)
-		if (server_limits_token(edge, from, &heartbeat->tokens[i],
-					&answers.tokens[answers.token_count]))
+		if (server_limits_handle_token(
+			    edge, from, &heartbeat->tokens[i],
+			    &answers.tokens[answers.token_count]))
 			answers.token_count++;
 	if (answers.token_count)
 		gossip_send_to_one(gossip, from, &answers);
@@ -179,7 +180,7 @@
 	update_starting_node(gossip, heartbeat);
 	apply_tokens(gossip, heartbeat);
 	for (i = 0; i < heartbeat->rate_count; i++)
-		if (!server_limits_take(edge, &heartbeat->rates[i]))
+		if (!server_limits_apply_update(edge, &heartbeat->rates[i]))
 			metric_add(edge->stats.updates_rejected, 1);
 	for (i = 0; i < heartbeat->suspect_count; i++) {
 		const struct suspect_update *update = &heartbeat->suspects[i];
--- a/packages/edge/run.c
+++ b/packages/edge/run.c
@@ -14,28 +14,29 @@
 #include "edge/server_limits.h"
 #include "edge/sync.h"
 
-/* How often time-outs of connections are looked at. */
+/* How often connection timeouts and the like are checked. */
 #define TICK_US (200 * US_PER_MS)
 
 /*
- * How often the settings file is read for a change that no signal told of, and
- * members are looked at for ones that are lost.
+ * How often the settings file is reloaded, for a change without a SIGHUP, and
+ * lost members are removed.
  */
-#define SETTINGS_EVERY_US (2 * US_PER_S)
+#define SETTINGS_POLL_US (2 * US_PER_S)
 
 /*
- * A tick so late means that the machine stood still: connections may be dead
- * and what is known is old.
+ * A longer time between two ticks means that the VM was suspended: connections
+ * may be dead and the tables out of date.
  */
-#define SUSPENDED_US (1500 * US_PER_MS)
+#define SUSPENDED_MIN_US (1500 * US_PER_MS)
 
 /*
- * A stop in steps. Callers keep look-ups for a while, up to three times as long
- * as told, so requests are taken for that time; what is in flight then ends.
+ * Callers cache lookups for up to this many times the TTL they were given. A
+ * node that stops accepts requests for that long, then finishes those in
+ * flight.
  */
-#define STOP_LOOKUPS 3
+#define STOP_LOOKUP_PERIODS 3
 
-/* Kept back of the time for a stop, to end by ourselves. */
+/* The stop ends this long before its deadline, when it would be killed. */
 #define STOP_MARGIN_US (300 * US_PER_MS)
 
 enum { AT_FRONT, AT_READY, AT_LOOKUP, AT_OPERATORS, AT_PEERS, LISTENERS };
@@ -49,8 +50,8 @@
 	uv_signal_t signals[3];
 	uv_timer_t tick;
 	const char *settings_path;
-	uint64_t tick_us; /* of the last tick */
-	uint64_t settings_us; /* when the settings file was last read */
+	uint64_t last_tick_us; /* of the last tick */
+	uint64_t settings_read_us; /* when the settings file was last read */
 	bool front_closed;
 	bool was_ready;
 };
@@ -62,7 +63,7 @@
 	return a->port == b->port && !strcmp(a->address, b->address);
 }
 
-static void redirect(struct run *run)
+static void set_registry(struct run *run)
 {
 	const struct endpoint *to = &run->edge.settings.registry;
 
@@ -70,7 +71,7 @@
 	quarantine_store_redirect(run->edge.quarantines, to);
 }
 
-static void take_settings(struct run *run, struct edge_settings *fresh)
+static void apply_settings(struct run *run, struct edge_settings *fresh)
 {
 	struct edge_settings *current = &run->edge.settings;
 	bool moved = !same_endpoint(&current->registry, &fresh->registry);
@@ -84,32 +85,32 @@
 	current->max_stop_us = fresh->max_stop_us;
 	current->registry = fresh->registry;
 	if (moved)
-		redirect(run);
+		set_registry(run);
 	log_event(LOG_DEBUG, "settings", "registry=%s:%u moved=%s",
 		  current->registry.address, current->registry.port,
 		  moved ? "yes" : "no");
 }
 
-/* A bad file changes nothing: what is in force is good. */
+/* An invalid file is logged and the current settings stay. */
 static void reload_settings(struct run *run)
 {
 	struct edge_settings fresh;
 	GError *error = NULL;
 
-	run->settings_us = edge_now_us(&run->edge);
+	run->settings_read_us = edge_now_us(&run->edge);
 	if (!edge_settings_load(&fresh, run->settings_path, &error)) {
 		log_event(LOG_ERROR, "settings-refused", "cause=%s",
 			  error->message);
 		g_error_free(error);
 		return;
 	}
-	take_settings(run, &fresh);
+	apply_settings(run, &fresh);
 	edge_settings_release(&fresh);
 }
 
 /* --- stopping ----------------------------------------------------------- */
 
-static void close_all(struct run *run)
+static void finish_stop(struct run *run)
 {
 	uint32_t i;
 
@@ -132,19 +133,20 @@
 }
 
 /*
- * Timers come before reads. While a node that stops read a large document,
- * requests came to its listener and on its idle connections; closed at that
- * tick, they ended without an answer. So closing waits for a tick that isn't
- * late, unless the time for the stop is over.
+ * The loop runs timers before reads. While a stopping node reads a large
+ * document, requests may arrive at its listener and on idle connections; if
+ * these were closed at the next tick, the requests would get no answer. So
+ * nothing is closed until a tick is on time, unless the stop's time is over.
  */
-static void go_on_stopping(struct run *run)
+static void continue_stop(struct run *run)
 {
 	struct edge *edge = &run->edge;
 	uint64_t passed_us = edge_now_us(edge) - edge->stopping_us;
-	uint64_t taking_us = STOP_LOOKUPS * edge->settings.lookup_keep_us;
+	uint64_t accept_us =
+		STOP_LOOKUP_PERIODS * edge->settings.lookup_keep_us;
 
-	taking_us = MIN(taking_us, edge->settings.max_stop_us / 2);
-	if (passed_us < taking_us)
+	accept_us = MIN(accept_us, edge->settings.max_stop_us / 2);
+	if (passed_us < accept_us)
 		return;
 	if (callers_may_have_unread(edge) &&
 	    passed_us + STOP_MARGIN_US <= edge->settings.max_stop_us)
@@ -154,15 +156,15 @@
 		listener_close(&run->listeners[AT_FRONT]);
 	}
 	callers_close_idle(edge);
-	if (!callers_are_waiting(edge) && passed_us > taking_us + TICK_US) {
+	if (!callers_are_waiting(edge) && passed_us > accept_us + TICK_US) {
 		log_event(LOG_INFO, "stop-ends", "whole=yes took_us=%" PRIu64,
 			  passed_us);
-		close_all(run);
+		finish_stop(run);
 	} else if (passed_us + STOP_MARGIN_US > edge->settings.max_stop_us) {
 		log_event(LOG_WARNING, "stop-ends",
 			  "whole=no in_flight=%u took_us=%" PRIu64,
 			  edge->exchanges, passed_us);
-		close_all(run);
+		finish_stop(run);
 	}
 }
 
@@ -182,17 +184,17 @@
 }
 
 /*
- * What was known before a suspension is old: servers have left, connections
- * were dropped. Kept connections go, and the tables are asked for at once.
+ * After a suspension servers may have left and connections may be dead: drops
+ * the idle connections and requests the tables at once.
  */
-static void after_suspension(struct run *run, uint64_t stood_us)
+static void recover_from_suspension(struct run *run, uint64_t suspended_us)
 {
-	log_event(LOG_WARNING, "suspended", "stood_us=%" PRIu64, stood_us);
+	log_event(LOG_WARNING, "suspended", "stood_us=%" PRIu64, suspended_us);
 	pool_drop_idle(&run->edge.pool);
 	sync_refresh(run->sync);
 }
 
-static void note_readiness(struct run *run)
+static void update_readiness(struct run *run)
 {
 	bool ready = edge_is_ready(&run->edge);
 
@@ -211,23 +213,23 @@
 	struct run *run = timer->data;
 	struct edge *edge = &run->edge;
 	uint64_t now_us = edge_now_us(edge);
-	uint64_t passed_us = now_us - run->tick_us;
+	uint64_t passed_us = now_us - run->last_tick_us;
 
-	run->tick_us = now_us;
-	if (passed_us > SUSPENDED_US)
-		after_suspension(run, passed_us);
+	run->last_tick_us = now_us;
+	if (passed_us > SUSPENDED_MIN_US)
+		recover_from_suspension(run, passed_us);
 	backend_table_expire(edge->backends, now_us);
 	gossip_send_changes(run->gossip);
-	server_limits_share(edge);
+	server_limits_update_quotas(edge);
 	callers_sweep(edge);
 	pool_sweep(&edge->pool, edge->backends);
-	note_readiness(run);
-	if (now_us - run->settings_us > SETTINGS_EVERY_US) {
+	update_readiness(run);
+	if (now_us - run->settings_read_us > SETTINGS_POLL_US) {
 		reload_settings(run);
 		sync_remove_lost_member(run->sync);
 	}
 	if (edge->stopping)
-		go_on_stopping(run);
+		continue_stop(run);
 }
 
 /* --- start -------------------------------------------------------------- */
@@ -272,8 +274,8 @@
 {
 	uv_timer_init(&run->loop, &run->tick);
 	run->tick.data = run;
-	run->tick_us = edge_now_us(&run->edge);
-	run->settings_us = run->tick_us;
+	run->last_tick_us = edge_now_us(&run->edge);
+	run->settings_read_us = run->last_tick_us;
 	uv_timer_start(&run->tick, on_tick, TICK_US / US_PER_MS,
 		       TICK_US / US_PER_MS);
 }
@@ -305,6 +307,6 @@
 		  settings->domain, settings->region, settings->front.address,
 		  settings->front.port);
 	uv_run(&run->loop, UV_RUN_DEFAULT);
-	/* The process ends here: its sockets close with it, all at once. */
+	/* The process exits now, which closes all sockets and frees memory. */
 	return true;
 }
--- a/packages/edge/sync_answer.c
+++ b/packages/edge/sync_answer.c
@@ -136,7 +136,7 @@
  */
 static uint64_t answer_as_of_us(const struct follower *follower)
 {
-	uint64_t received_us = edge_came_by_us(follower->sync->edge);
+	uint64_t received_us = edge_earliest_arrival_us(follower->sync->edge);
 	uint64_t elapsed_us =
 		lane_transfer_us(&follower->lane) + MAX_FIRST_BYTE_DELAY_US;
 
--- a/tests/core/rate_limit_test.cc
+++ b/tests/core/rate_limit_test.cc
@@ -588,7 +588,7 @@
 }
 
 /* The demand uses up the rate, although few nodes are quota holders. */
-TEST_P(RateFleetTest, TheRateIsUsed)
+TEST_P(RateFleetTest, RateIsFullyUsed)
 {
 	if (GetParam().per_s < 2)
 		GTEST_SKIP() << "a burst is as much as the rate";
--- a/tests/edge/confirmation_test.cc
+++ b/tests/edge/confirmation_test.cc
@@ -49,11 +49,11 @@
 	start_node();
 	add_reader();
 	receive_reader_digests(0);
-	turn_for(300);
+	run_for(300);
 	receive_reader_digests(0);
 	if (c.partitioned) {
 		make_unreachable();
-		turn_for(settings.config_within_us / 1000 + 300);
+		run_for(settings.config_within_us / 1000 + 300);
 	}
 	if (c.differs) {
 		make_unreachable();
@@ -117,18 +117,18 @@
 	narrow_link();
 	put_large(2);
 	receive_reader_digests(1);
-	turn_for(200);
+	run_for(200);
 	put_large(3, late); /* acknowledged by the store here */
 	put_us = edge_now_us(edge);
 	while (edge->routes->version < 2) {
 		receive_reader_heartbeat();
-		turn_for(50);
+		run_for(50);
 	}
 	ASSERT_EQ(2u, edge->routes->version);
 	while (edge_now_us(edge) - put_us <
 	       settings.config_within_us + 100000) {
 		receive_reader_heartbeat();
-		turn_for(50);
+		run_for(50);
 	}
 	EXPECT_NE(404, status_at("/late/"))
 		<< (edge_now_us(edge) - put_us) / 1000
@@ -150,10 +150,10 @@
 
 	add_app("i-1");
 	start_node();
-	turn_for(700);
+	run_for(700);
 	narrow_link();
 	put_large(2);
-	turn_for(300);
+	run_for(300);
 	put_large(3);
 	put_us = edge_now_us(edge);
 	wait_for([this] { return edge->routes->version == 2; });
@@ -177,7 +177,7 @@
 	EXPECT_EQ(404, status_at("/n7/"));
 	faults.silent = true;
 	store_stand_set_faults(store, &faults);
-	turn_for(settings.config_within_us / 1000 + 2000);
+	run_for(settings.config_within_us / 1000 + 2000);
 	EXPECT_EQ(503, status_at("/n7/"));
 	put_large(2);
 	store_stand_forget(store);
@@ -190,7 +190,7 @@
 		ASSERT_NE(404, status)
 			<< "confirmed " << sync_routes_age_us(sync) / 1000
 			<< " ms ago";
-		turn_for(20);
+		run_for(20);
 	}
 	EXPECT_EQ(2u, edge->routes->version);
 }
@@ -208,7 +208,7 @@
 	start_node();
 	store_stand_put(store, "op", "config", "{\"version\":2,\"routes\":{");
 	wait_for([this] { return status_at("/added-later/") == 503; });
-	turn_for(1500);
+	run_for(1500);
 	uint32_t count = sync_fill_digests(sync, digests);
 	for (uint32_t i = 0; i < count; i++)
 		EXPECT_FALSE(digests[i].table == REGISTRY_CONFIG &&
@@ -230,18 +230,18 @@
 
 	add_app("i-1");
 	start_node();
-	turn_for(200);
+	run_for(200);
 	faults.silent_table = "op";
 	store_stand_set_faults(store, &faults);
 	put_large(2);
 	put_us = edge_now_us(edge);
-	turn_for(settings.config_within_us / 1000 + 100);
+	run_for(settings.config_within_us / 1000 + 100);
 	for (int i = 0; i < 40 && edge->routes->version < 2; i++) {
 		ASSERT_NE(404, status_at("/n7/"))
 			<< (edge_now_us(edge) - put_us) / 1000
 			<< " ms after the change; routes confirmed "
 			<< sync_routes_age_us(sync) / 1000 << " ms ago";
-		turn_for(50);
+		run_for(50);
 	}
 }
 
@@ -253,7 +253,7 @@
 	EXPECT_EQ(404, status_at("/n7/"));
 	narrow_link();
 	put_large(2);
-	turn_for(300);
+	run_for(300);
 	EXPECT_EQ(503, status_at("/n7/"));
 	EXPECT_EQ(200, status_at("/r/"));
 	wait_for([this] { return edge->routes->version == 2; });
--- a/tests/edge/gossip_test.cc
+++ b/tests/edge/gossip_test.cc
@@ -156,7 +156,7 @@
 	std::this_thread::sleep_for(std::chrono::milliseconds(50));
 	send_datagram(heartbeat);
 	std::this_thread::sleep_for(std::chrono::milliseconds(stood_ms));
-	turn_for(50);
+	run_for(50);
 	EXPECT_GE(sync_routes_age_us(sync), stood_ms * 1000);
 	send_datagram(heartbeat);
 	wait_for([this] { return sync_routes_age_us(sync) < 100000; });
@@ -239,7 +239,7 @@
 		return warmth_has(&edge->warmth, { 11, 22 }) &&
 		       warmth_has(&edge->warmth, { 11, 33 });
 	});
-	turn_for(1500);
+	run_for(1500);
 	receive();
 	for (const struct heartbeat &one : heartbeats)
 		for (uint32_t i = 0; i < one.pair_count; i++)
@@ -355,7 +355,7 @@
 		return g_hash_table_size(edge->backends->by_id) ==
 		       3 * HEARTBEAT_MAX_ROWS + 1;
 	});
-	turn_for(1000);
+	run_for(1000);
 	receive();
 	EXPECT_GE((size_t)HEARTBEAT_MAX_ROWS, sent_rows().size());
 }
@@ -399,7 +399,7 @@
 	send_datagram(std::string("hello"));
 	send_datagram(std::string(HEARTBEAT_MAX_BYTES + 1, 'x'));
 	send_datagram(std::string(64, '\0'));
-	turn_for(100);
+	run_for(100);
 	EXPECT_EQ(before, backend_table_digest(edge->backends));
 	EXPECT_EQ(2u, member_table_count(edge->members));
 	EXPECT_EQ(200, status_of(answer_to(get("a1", "/r/"))));
@@ -463,7 +463,7 @@
 	snprintf(key, sizeof(key), "%016" PRIx64, update.fingerprint);
 	wait_for([&] { return store_stand_get(store, "quarantines", key); });
 	quarantine_store_close(quarantines);
-	turn_for(20);
+	run_for(20);
 	g_free(quarantines);
 }
 
@@ -521,7 +521,7 @@
 		member_note_heartbeat(peer_member, 1, false, edge_now_us(edge));
 		const struct rate_update update = { backend->incarnation, 1,
 						    0 };
-		ASSERT_TRUE(server_limits_take(edge, &update));
+		ASSERT_TRUE(server_limits_apply_update(edge, &update));
 		ASSERT_DOUBLE_EQ(0, backend->limit.quota_per_s);
 	}
 	/* Whether the node's request for a token reached the peer. */
@@ -609,14 +609,14 @@
 	start_beside_holder();
 	for (int i = 0; i < 5; i++)
 		answer(true);
-	turn_for(50);
+	run_for(50);
 	EXPECT_FALSE(rate_limit_allows(&backend->limit, edge_now_us(edge)));
 	auto caller = call(get("a1", "/r/"));
 	wait_for([this] { return token_was_requested(); });
 	answer(true);
 	answer(true);
 	wait_for([&] { return is_whole(*caller); });
-	turn_for(20);
+	run_for(20);
 	EXPECT_FALSE(rate_limit_allows(&backend->limit, edge_now_us(edge)));
 }
 
--- a/tests/edge/lane_test.cc
+++ b/tests/edge/lane_test.cc
@@ -67,7 +67,7 @@
 		EXPECT_GT(lane.got_bytes, 0u);
 	}
 	lane_close(&lane);
-	turn_for(20);
+	run_for(20);
 }
 
 INSTANTIATE_TEST_SUITE_P(Cases, LaneTransferTest,
--- a/tests/edge/large_document.h
+++ b/tests/edge/large_document.h
@@ -44,7 +44,7 @@
 	}
 	static std::string routes_text()
 	{
-		return routes_named_n(added_routes);
+		return numbered_routes(added_routes);
 	}
 	void put_large(int version, const std::string &more = "")
 	{
@@ -58,7 +58,7 @@
 		start_node();
 		add_reader();
 		receive_reader_digests(0);
-		turn_for(1000);
+		run_for(1000);
 	}
 	/*
 	 * Delivers the reader's heartbeat. Its digest of the routes differs by
@@ -101,7 +101,7 @@
 		while (!condition() && edge_now_us(edge) < end_us) {
 			receive_reader_digests(edge->routes->version < 2,
 					       others_differ);
-			turn_for(100);
+			run_for(100);
 		}
 	}
 	uint64_t failures()
--- a/tests/edge/large_document_test.cc
+++ b/tests/edge/large_document_test.cc
@@ -34,7 +34,7 @@
 	narrow_link();
 	start_node(false);
 	EXPECT_EQ(503, status_at("/n7/"));
-	turn_for(2 * transfer_ms);
+	run_for(2 * transfer_ms);
 	EXPECT_TRUE(edge_is_ready(edge));
 	EXPECT_EQ(200, status_at("/n7/"));
 }
@@ -49,7 +49,7 @@
 	narrow_link();
 	put_large(2);
 	receive_reader_digests(1);
-	turn_for(200);
+	run_for(200);
 	make_unreachable();
 	receive_reader_digests_until(
 		[this] { return edge->routes->version == 2; }, 2 * transfer_ms,
@@ -92,7 +92,7 @@
 
 	add_app("i-1");
 	start_node();
-	turn_for(700);
+	run_for(700);
 	narrow_link();
 	put_large(2);
 	put_us = edge_now_us(edge);
@@ -106,7 +106,7 @@
 			ASSERT_GE(digests[i].age_ms + 150,
 				  (edge_now_us(edge) - put_us) / 1000);
 		}
-		turn_for(50);
+		run_for(50);
 	}
 	EXPECT_EQ(2u, edge->routes->version);
 }
@@ -124,10 +124,10 @@
 	narrow_link();
 	put_large(2);
 	receive_reader_digests(1);
-	turn_for(600);
+	run_for(600);
 	before = failures();
 	usleep(1200000);
-	turn_for(50);
+	run_for(50);
 	EXPECT_EQ(before, failures());
 }
 
@@ -139,7 +139,7 @@
 	put_large(2);
 	receive_reader_digests(1);
 	for (int i = 0; i < 5 && edge->routes->version < 2; i++) {
-		turn_for(2000);
+		run_for(2000);
 		receive_reader_heartbeat();
 		sync_refresh(sync);
 	}
--- a/tests/edge/link_fault_test.cc
+++ b/tests/edge/link_fault_test.cc
@@ -79,7 +79,7 @@
 	SCOPED_TRACE(c.description);
 	EXPECT_EQ(200, status_of(answer_to(get("a0", c.path))));
 	relay_set(relay, c.fault);
-	turn_for(50);
+	run_for(50);
 	std::string answer = answer_to(get("a1", c.path, more));
 	EXPECT_EQ(c.faulted_status, status_of(answer)) << answer;
 	relay_set(relay, RELAY_PASS);
--- a/tests/edge/sync_peers_test.cc
+++ b/tests/edge/sync_peers_test.cc
@@ -16,7 +16,7 @@
 	{
 		if (second_sync)
 			sync_close(second_sync);
-		turn_for(50);
+		run_for(50);
 		g_free(second_sync);
 		if (second_sync)
 			edge_release(&second);
@@ -134,7 +134,7 @@
 	{
 		wait_for_own_read();
 		for (int i = 0; i < 40; i++) {
-			turn_for(10);
+			run_for(10);
 			ASSERT_TRUE(holds());
 		}
 	}
@@ -179,11 +179,11 @@
 		add_app("i-" + std::to_string(i));
 	start_first();
 	put_member("n2", endpoint_at(2), 10);
-	turn_for(300);
+	run_for(300);
 	uint64_t before = reads(READ_AT_START);
 	uint64_t written = writes();
 	start_second();
-	turn_for(100);
+	run_for(100);
 	EXPECT_EQ(1u, reads(READ_AT_START) - before);
 	EXPECT_EQ(written, writes());
 	EXPECT_EQ(backend_table_digest(edge->backends),
@@ -196,13 +196,13 @@
 TEST_F(SyncPeersTest, NewNodeWritesItsRowOnce)
 {
 	start_first();
-	turn_for(300);
+	run_for(300);
 	uint64_t written = writes();
 	start_second();
 	wait_for([this] {
 		return store_stand_get(store, "members", "n2") != nullptr;
 	});
-	turn_for(300);
+	run_for(300);
 	EXPECT_EQ(1u, writes() - written);
 }
 
@@ -212,7 +212,7 @@
 	add_app("i-1");
 	start_first(false);
 	put_member("n1", endpoint_at(1), 200);
-	turn_for(100);
+	run_for(100);
 	start_second();
 	EXPECT_NE(nullptr, backend_table_find(second.backends, "i-1"));
 }
@@ -228,7 +228,7 @@
 
 	start_both();
 	send_digests_to_second();
-	turn_for(1000);
+	run_for(1000);
 	uint64_t differing = reads(READ_VERSION_DIFFERS);
 	uint64_t old = reads(READ_CONFIRMATION_EXPIRED);
 	put_routes(9);
@@ -265,7 +265,7 @@
 			"\"zone\":\"d1\",\"slots\":4,\"state\":\"ready\"}");
 	start_both();
 	send_digests_to_second();
-	turn_for(1000);
+	run_for(1000);
 	edge->settings.link_mbps = 1;
 	uint64_t differing = reads(READ_VERSION_DIFFERS);
 	put_routes(9);
@@ -287,7 +287,7 @@
 {
 	start_both();
 	send_digests_to_second();
-	turn_for(1000);
+	run_for(1000);
 	edge->settings.link_mbps = 0.00001; /* no answer fits */
 	put_routes(9);
 	wait_for([this] { return edge->routes->version == 9; });
@@ -308,11 +308,11 @@
 	add_app("i-1");
 	add_app("i-2");
 	start_both();
-	turn_for(1000);
+	run_for(1000);
 	uint64_t before = backend_table_digest(edge->backends);
 	faults.silent = true;
 	store_stand_set_faults(store, &faults);
-	turn_for(100);
+	run_for(100);
 	store_stand_put(store, "servers", "i-2", nullptr);
 	/* From here on only the second node reaches the store. */
 	sync_redirect(sync, &unreachable);
@@ -323,7 +323,7 @@
 	ASSERT_EQ(before, backend_table_digest(edge->backends));
 	for (int i = 0; i < 10; i++) {
 		send_digests_to_second();
-		turn_for(100);
+		run_for(100);
 		EXPECT_EQ(nullptr, backend_table_find(second.backends, "i-2"));
 	}
 }
@@ -340,11 +340,11 @@
 	start_node();
 	ASSERT_EQ(2u, member_table_count(edge->members));
 	edge->members->self->leaving = true;
-	turn_for(1200);
+	run_for(1200);
 	uint64_t before = reads(READ_AS_READER);
 	edge->members->self->leaving = false;
 	sync_became_ready(sync);
-	turn_for(100);
+	run_for(100);
 	EXPECT_GE(reads(READ_AS_READER) - before, 2u);
 }
 
@@ -358,7 +358,7 @@
 	for (int i = 0; i < 10; i++)
 		add_app("i-" + std::to_string(i));
 	start_both();
-	turn_for(300);
+	run_for(300);
 	store_stand_put(store, "servers", "i-3", nullptr);
 	wait_for([this] { return !backend_table_find(edge->backends, "i-3"); });
 	send_digests_to_second();
@@ -378,7 +378,7 @@
 			     edge_now_us(edge) + 2000000, edge_now_us(edge));
 	for (int i = 0; i < 12; i++) {
 		send_digests_to_second();
-		turn_for(100);
+		run_for(100);
 		EXPECT_EQ(nullptr, backend_table_find(second.backends, "i-3"));
 	}
 	EXPECT_NE(nullptr, backend_table_find(edge->backends, "i-3"));
@@ -390,13 +390,13 @@
 	for (int i = 0; i < 10; i++)
 		add_app("i-" + std::to_string(i));
 	start_both();
-	turn_for(1000);
+	run_for(1000);
 	backend_table_remove(edge->backends, "i-3", 0,
 			     edge_now_us(edge) + 2000000, edge_now_us(edge));
 	list_app(apps[5], "draining");
 	wait_for([this] {
 		send_digests_to_second();
-		turn_for(50);
+		run_for(50);
 		return backend_table_find(second.backends, "i-5")->draining;
 	});
 	EXPECT_NE(nullptr, backend_table_find(second.backends, "i-3"));
@@ -411,9 +411,9 @@
 	add_app("i-1");
 	start_first();
 	put_member("n2", endpoint_at(2), 10);
-	turn_for(300);
+	run_for(300);
 	sync_redirect(sync, &unreachable);
-	turn_for(1200);
+	run_for(1200);
 	start_second();
 	EXPECT_GE(sync_routes_age_us(second_sync), 1200000u);
 }
@@ -466,17 +466,17 @@
 	App &app = add_app("i-1");
 
 	start_both();
-	turn_for(1000);
+	run_for(1000);
 	list_app(app, "draining");
 	while (!drains(*edge, "i-1")) {
 		send_digests_to_second();
-		turn_for(20);
+		run_for(20);
 	}
 	for (unsigned i = 0; i < 6 && !drains(second, "i-1"); i++) {
 		put_routes(100 + i);
 		wait_for([&] { return edge->routes->version == 100 + i; });
 		send_digests_to_second();
-		turn_for(100);
+		run_for(100);
 	}
 	EXPECT_TRUE(drains(second, "i-1"));
 }
@@ -492,7 +492,7 @@
 	App &app = add_app("i-1");
 
 	start_both();
-	turn_for(1000);
+	run_for(1000);
 	sync_table_states(sync, first);
 	uint64_t before = first[REGISTRY_BACKENDS].version;
 	for (int i = 2; i < 10; i++)
@@ -512,11 +512,11 @@
 {
 	const int routes = 600;
 
-	extra_routes = routes_named_n(routes);
+	extra_routes = numbered_routes(routes);
 	put_routes(2);
 	start_both();
 	send_digests_to_second();
-	turn_for(1000);
+	run_for(1000);
 	edge->settings.link_mbps = 0.00001; /* no answer fits */
 	for (int version = 3; version <= 8; version++)
 		put_routes(version);
@@ -533,7 +533,7 @@
 /* Without a reader no digest shows that there are several newer versions. */
 TEST_F(SyncPeersTest, UnconfirmedRoutesAreReadInFullOnce)
 {
-	extra_routes = routes_named_n(600);
+	extra_routes = numbered_routes(600);
 	put_routes(2);
 	start_first();
 	put_member("n2", endpoint_at(2), 10);
--- a/tests/edge/sync_test.cc
+++ b/tests/edge/sync_test.cc
@@ -48,7 +48,7 @@
 	set_unreachable(true);
 	wait_for([this] { return call_fails("backends"); },
 		 "the store is lost");
-	turn_for(1500);
+	run_for(1500);
 	set_unreachable(false);
 	put_routes(7);
 	uint64_t calls = store_stand_calls(store);
@@ -222,11 +222,11 @@
 	start_node();
 	add_reader();
 	receive_reader_digests(0);
-	turn_for(1500);
+	run_for(1500);
 	uint64_t calls = store_stand_calls(store);
 	for (int i = 0; i < 15; i++) {
 		receive_reader_digests(100);
-		turn_for(200);
+		run_for(200);
 	}
 	EXPECT_LE(store_stand_calls(store) - calls, 2u);
 }
@@ -241,7 +241,7 @@
 	put_routes(8);
 	for (int i = 0; i < 100 && edge->routes->version != 8; i++) {
 		receive_reader_digests(10000);
-		turn_for(50);
+		run_for(50);
 	}
 	EXPECT_EQ(8u, edge->routes->version);
 }
@@ -254,7 +254,7 @@
 	add_reader();
 	for (int i = 0; i < 6; i++) {
 		receive_reader_digests(0);
-		turn_for(200);
+		run_for(200);
 	}
 	list_app(apps[0], "draining");
 	receive_reader_digests(0, 1);
@@ -304,7 +304,7 @@
 					     REGISTRY_CONFIG;
 			sync_receive_digest(sync, &digests[i]);
 		}
-		turn_for(100);
+		run_for(100);
 	}
 	EXPECT_EQ(8u, edge->routes->version);
 }
@@ -350,7 +350,7 @@
 	wait_for([&] { return second.routes->version == 7; });
 	wait_for([&] { return !backend_table_find(second.backends, "i-1"); });
 	sync_close(second_sync);
-	turn_for(50);
+	run_for(50);
 	g_free(second_sync);
 	edge_release(&second);
 }
@@ -434,7 +434,7 @@
 	EXPECT_EQ(1u, app_stand_runs(again.stand, "a2"));
 	/* A late entry of the old incarnation is ignored. */
 	list_app(before, "draining", "0ms", 3, ",\"born\":1000");
-	turn_for(300);
+	run_for(300);
 	EXPECT_FALSE(backend_table_find(edge->backends, "i-1")->draining);
 	EXPECT_EQ(200, status_of(answer_to(get("a3", "/o/"))));
 }
@@ -448,7 +448,7 @@
 	start_node();
 	wait_for([this] { return member_table_count(edge->members) == 2; });
 	sync_remove_lost_member(sync);
-	turn_for(100);
+	run_for(100);
 	ASSERT_NE(nullptr, store_stand_get(store, "members", "gone"));
 	edge->settings.member_expiry_us = 1;
 	wait_for([this] {
