--- a/packages/edge/quarantine_store.c
+++ b/packages/edge/quarantine_store.c
@@ -76,8 +76,10 @@
 		record->left_ms = (suspect->until_us - now_us) / US_PER_MS;
 	record->written_ms = real_ms();
 	record->by_hand = suspect->by_hand;
-	for (i = 0; i < MIN(suspect->crash_count, QUARANTINE_LIVES); i++)
-		record->lives[record->life_count++] = suspect->crashes[i].life;
+	for (i = 0; i < MIN(suspect->crash_count, QUARANTINE_MAX_INCARNATIONS);
+	     i++)
+		record->incarnations[record->incarnation_count++] =
+			suspect->crashes[i].life;
 	record->request = (char *)suspect->text;
 }
 
@@ -135,7 +137,7 @@
 		fill_record(suspect, edge_now_us(edge), &record);
 		note_kept(store, store->writing);
 	}
-	registry->vtable->put_quarantine(
+	registry->vtable->build_put_quarantine(
 		registry, key, suspect && suspect->rounds ? &record : NULL,
 		&call);
 	metric_add(edge->stats.registry_writes, 1);
@@ -206,15 +208,15 @@
 {
 	struct suspect_word word = {
 		.fingerprint = fingerprint,
-		.crash_count = record->life_count,
+		.crash_count = record->incarnation_count,
 		.rounds = record->rounds,
 		.left_us = left_us(record),
 		.by_hand = record->by_hand,
 	};
 	uint32_t i;
 
-	for (i = 0; i < record->life_count; i++) {
-		word.crashes[i].life = record->lives[i];
+	for (i = 0; i < record->incarnation_count; i++) {
+		word.crashes[i].life = record->incarnations[i];
 		word.crashes[i].age_us = i * US_PER_MS;
 	}
 	return suspect_take(edge->suspects, &word, edge->members->self->hash,
@@ -311,9 +313,9 @@
 	struct edge *edge = store->edge;
 	struct registry_call call;
 
-	edge->registry->vtable->read(edge->registry, REGISTRY_QUARANTINES,
-				     store->page_key ? store->page_key : "",
-				     &call);
+	edge->registry->vtable->build_read(
+		edge->registry, REGISTRY_QUARANTINES,
+		store->page_key ? store->page_key : "", &call);
 	stats_count_read(&edge->stats, READ_STARTS);
 	lane_call(&store->lane, call.method, call.target, call.body,
 		  CALL_TIMEOUT_US, on_read, store);
--- a/packages/edge/sync_own.c
+++ b/packages/edge/sync_own.c
@@ -45,8 +45,8 @@
 
 	if (lane_is_busy(&sync->own_lane) || sync->own_listed)
 		return;
-	edge->registry->vtable->put_member(edge->registry, edge->settings.name,
-					   &record, &call);
+	edge->registry->vtable->build_put_member(
+		edge->registry, edge->settings.name, &record, &call);
 	metric_add(edge->stats.registry_writes, 1);
 	lane_call(&sync->own_lane, call.method, call.target, call.body,
 		  SYNC_CALL_TIMEOUT_US, on_own_written, sync);
@@ -72,8 +72,8 @@
 	if (!lost || lane_is_busy(&sync->own_lane) || !sync->own_listed)
 		return;
 	log_event(LOG_INFO, "member-lost", "member=%s", lost->name);
-	edge->registry->vtable->put_member(edge->registry, lost->name, NULL,
-					   &call);
+	edge->registry->vtable->build_put_member(edge->registry, lost->name,
+						 NULL, &call);
 	metric_add(edge->stats.registry_writes, 1);
 	lane_call(&sync->own_lane, call.method, call.target, call.body,
 		  SYNC_CALL_TIMEOUT_US, on_struck, sync);
--- a/packages/edge/sync_plan.c
+++ b/packages/edge/sync_plan.c
@@ -263,12 +263,12 @@
 		return;
 	lane_limit_body(&follower->lane, changes_most(follower));
 	if (follower->whole) {
-		registry->vtable->follow(registry, rule->table,
-					 follower->version, wait_us(follower),
-					 &call);
+		registry->vtable->build_follow(registry, rule->table,
+					       follower->version,
+					       wait_us(follower), &call);
 		timeout_us += wait_us(follower);
 	} else {
-		registry->vtable->read(
+		registry->vtable->build_read(
 			registry, rule->table,
 			follower->page_key ? follower->page_key : "", &call);
 	}
--- a/packages/edge/sync_tables.c
+++ b/packages/edge/sync_tables.c
@@ -72,7 +72,8 @@
 	const struct registry *registry = sync->edge->registry;
 	char *domain = NULL;
 
-	switch (registry->vtable->config_row(registry, row->key, &domain)) {
+	switch (registry->vtable->classify_config_row(registry, row->key,
+						      &domain)) {
 	case CONFIG_ROW_ROUTES:
 		apply_routes(sync, row);
 		break;
@@ -99,8 +100,8 @@
 	while (g_hash_table_iter_next(&iter, &key, NULL)) {
 		char *domain = NULL;
 
-		if (registry->vtable->config_row(registry, key, &domain) ==
-		    CONFIG_ROW_EVACUATION)
+		if (registry->vtable->classify_config_row(
+			    registry, key, &domain) == CONFIG_ROW_EVACUATION)
 			g_hash_table_add(standing, domain);
 	}
 	for (at = domains; at; at = at->next) {
--- a/packages/ports/dialect.h
+++ b/packages/ports/dialect.h
@@ -39,7 +39,7 @@
 
 	/* The body of a look-up's answer, for g_free(). */
 	char *(*format_lookup)(const struct endpoint *entries, uint32_t count,
-			       uint64_t keep_us);
+			       uint64_t ttl_us);
 };
 
 #ifdef __cplusplus
--- a/packages/ports/registry.h
+++ b/packages/ports/registry.h
@@ -82,7 +82,7 @@
 };
 
 /* Servers' lives that a quarantine names at most. */
-#define QUARANTINE_LIVES 3
+#define QUARANTINE_MAX_INCARNATIONS 3
 
 /* A quarantined request as its row has it; the text is for g_free(). */
 struct quarantine_record {
@@ -90,12 +90,13 @@
 	uint64_t left_ms; /* of the latest, when it was written */
 	uint64_t written_ms; /* since 1970 */
 	bool by_hand;
-	uint32_t lives[QUARANTINE_LIVES]; /* of servers that it ended */
-	uint32_t life_count;
+	uint32_t incarnations[QUARANTINE_MAX_INCARNATIONS]; /* of servers that
+							       it ended */
+	uint32_t incarnation_count;
 	char *request; /* method and path, for operators */
 };
 
-enum config_row {
+enum config_row_kind {
 	CONFIG_ROW_ROUTES, /* the whole configuration */
 	CONFIG_ROW_EVACUATION, /* of a failure domain */
 	CONFIG_ROW_OTHER, /* none of ours */
@@ -103,23 +104,26 @@
 
 struct registry_vtable {
 	/* The rows of a table after a key ("": from the start). */
-	void (*read)(const struct registry *registry, enum registry_table table,
-		     const char *after_key, struct registry_call *call);
+	void (*build_read)(const struct registry *registry,
+			   enum registry_table table, const char *after_key,
+			   struct registry_call *call);
 	/*
 	 * What changed after a version, at once or within wait_us: each change
 	 * in order, also those that a later one of the same row replaces.
 	 */
-	void (*follow)(const struct registry *registry,
-		       enum registry_table table, uint64_t after_version,
-		       uint64_t wait_us, struct registry_call *call);
+	void (*build_follow)(const struct registry *registry,
+			     enum registry_table table, uint64_t after_version,
+			     uint64_t wait_us, struct registry_call *call);
 	/* Put a member's row; record NULL removes it. */
-	void (*put_member)(const struct registry *registry, const char *name,
-			   const struct member_record *record,
-			   struct registry_call *call);
+	void (*build_put_member)(const struct registry *registry,
+				 const char *name,
+				 const struct member_record *record,
+				 struct registry_call *call);
 	/* Put a quarantine's row; record NULL removes it. */
-	void (*put_quarantine)(const struct registry *registry, const char *key,
-			       const struct quarantine_record *record,
-			       struct registry_call *call);
+	void (*build_put_quarantine)(const struct registry *registry,
+				     const char *key,
+				     const struct quarantine_record *record,
+				     struct registry_call *call);
 	enum registry_result (*decode)(const struct registry *registry,
 				       uint32_t status, const char *body,
 				       size_t length,
@@ -137,8 +141,9 @@
 				  GError **error);
 	/* What a row of REGISTRY_CONFIG is; domain (for g_free()) if evacuation
 	 */
-	enum config_row (*config_row)(const struct registry *registry,
-				      const char *key, char **domain);
+	enum config_row_kind (*classify_config_row)(
+		const struct registry *registry, const char *key,
+		char **domain);
 	/* The routes of the row's value; NULL with the error set. */
 	struct route_table *(*decode_routes)(const struct registry *registry,
 					     const char *value, GError **error);
--- a/tests/edge/documents_test.cc
+++ b/tests/edge/documents_test.cc
@@ -10,30 +10,32 @@
 namespace
 {
 
-struct entry_case {
+struct backend_document_case {
 	const char *name;
 	const char *text;
-	bool good;
+	bool valid;
 };
 
-#define ENTRY(slots, state, more)                                     \
+#define BACKEND(slots, state, more)                                   \
 	"{\"service\":\"s\",\"addr\":\"10.0.0.1:80\",\"zone\":\"z\"," \
 	"\"version\":\"v1\",\"slots\":" slots ",\"state\":" state more "}"
 
-const entry_case entry_cases[] = {
-	{ "Ready", ENTRY("4", "\"ready\"", ""), true },
-	{ "Draining", ENTRY("4", "\"draining\"", ""), true },
-	{ "Cold", ENTRY("4", "\"ready\"", ",\"cold_left\":\"3s\""), true },
-	{ "WithItsStart", ENTRY("4", "\"ready\"", ",\"born\":1777081648000"),
+const backend_document_case backend_document_cases[] = {
+	{ "Ready", BACKEND("4", "\"ready\"", ""), true },
+	{ "Draining", BACKEND("4", "\"draining\"", ""), true },
+	{ "Cold", BACKEND("4", "\"ready\"", ",\"cold_left\":\"3s\""), true },
+	{ "WithItsStart", BACKEND("4", "\"ready\"", ",\"born\":1777081648000"),
 	  true },
-	{ "StartAsText", ENTRY("4", "\"ready\"", ",\"born\":\"1777\""), false },
-	{ "StartWithAFraction", ENTRY("4", "\"ready\"", ",\"born\":1.5"),
+	{ "StartAsText", BACKEND("4", "\"ready\"", ",\"born\":\"1777\""),
+	  false },
+	{ "StartWithAFraction", BACKEND("4", "\"ready\"", ",\"born\":1.5"),
+	  false },
+	{ "StartBeforeTime", BACKEND("4", "\"ready\"", ",\"born\":-1"), false },
+	{ "UnknownState", BACKEND("4", "\"asleep\"", ""), false },
+	{ "StateAsNumber", BACKEND("4", "1", ""), false },
+	{ "SlotsAsText", BACKEND("\"4\"", "\"ready\"", ""), false },
+	{ "ColdAsNumber", BACKEND("4", "\"ready\"", ",\"cold_left\":3"),
 	  false },
-	{ "StartBeforeTime", ENTRY("4", "\"ready\"", ",\"born\":-1"), false },
-	{ "UnknownState", ENTRY("4", "\"asleep\"", ""), false },
-	{ "StateAsNumber", ENTRY("4", "1", ""), false },
-	{ "SlotsAsText", ENTRY("\"4\"", "\"ready\"", ""), false },
-	{ "ColdAsNumber", ENTRY("4", "\"ready\"", ",\"cold_left\":3"), false },
 	{ "NoAddress",
 	  "{\"service\":\"s\",\"zone\":\"z\",\"slots\":4,\"state\":\"ready\"}",
 	  false },
@@ -42,7 +44,8 @@
 	{ "Nothing", "", false },
 };
 
-class EntryTest : public ::testing::TestWithParam<entry_case>
+class BackendDocumentTest
+    : public ::testing::TestWithParam<backend_document_case>
 {
 };
 
@@ -51,28 +54,29 @@
  * types, states that don't exist, bytes that are no text. Taken as they come,
  * requests went to an address that nobody meant.
  */
-TEST_P(EntryTest, OnlyAWholeEntryNamesAServer)
+TEST_P(BackendDocumentTest, OnlyValidDocumentsAreAccepted)
 {
 	struct backend_record record;
 	GError *error = nullptr;
 
-	EXPECT_EQ(GetParam().good,
-		  document_backend(GetParam().text, &record, &error));
-	EXPECT_EQ(GetParam().good, error == nullptr);
+	EXPECT_EQ(GetParam().valid,
+		  document_parse_backend(GetParam().text, &record, &error));
+	EXPECT_EQ(GetParam().valid, error == nullptr);
 	g_clear_error(&error);
 	backend_record_release(&record);
 }
 
-INSTANTIATE_TEST_SUITE_P(Cases, EntryTest, ::testing::ValuesIn(entry_cases),
+INSTANTIATE_TEST_SUITE_P(Cases, BackendDocumentTest,
+			 ::testing::ValuesIn(backend_document_cases),
 			 [](const auto &info) { return info.param.name; });
 
-TEST(EntryStartTest, TheStartIsRead)
+TEST(BackendStartTimeTest, StartTimeIsRead)
 {
 	struct backend_record record;
 
-	ASSERT_TRUE(document_backend(ENTRY("4", "\"ready\"",
-					   ",\"born\":1777081648000"),
-				     &record, nullptr));
+	ASSERT_TRUE(document_parse_backend(BACKEND("4", "\"ready\"",
+						   ",\"born\":1777081648000"),
+					   &record, nullptr));
 	EXPECT_EQ(1777081648000u, record.started_ms);
 	backend_record_release(&record);
 }
@@ -81,7 +85,7 @@
  * A key with a NUL makes the whole answer invalid to a strict parser: one entry
  * of another writer took away all servers of a node that starts.
  */
-TEST(StoreDecodeTest, AStrangeKeyLeavesTheOtherRows)
+TEST(StoreDecodeTest, KeyWithNulLeavesTheOtherRows)
 {
 	const struct registry *store = platform_store();
 	const std::string body =
@@ -102,7 +106,7 @@
 }
 
 /* Answers that may lack changes which are there: nothing in them says so. */
-struct short_case {
+struct truncation_case {
 	const char *name;
 	int rows;
 	int value_bytes; /* of each */
@@ -111,7 +115,7 @@
 	bool has_more;
 };
 
-const short_case short_cases[] = {
+const truncation_case truncation_cases[] = {
 	{ "Empty", 0, 4, 0, "", false },
 	{ "OneChange", 1, 4, 0, "", false },
 	{ "AsManyRowsAsFit", 500, 4, 0, "", true },
@@ -122,14 +126,14 @@
 	{ "APageWithMore", 3, 4, 3, ",\"has_more\":true", true },
 };
 
-class ShortTest : public ::testing::TestWithParam<short_case>
+class TruncationTest : public ::testing::TestWithParam<truncation_case>
 {
 };
 
-TEST_P(ShortTest, WhatMayBeCutShortHasMore)
+TEST_P(TruncationTest, PossiblyTruncatedAnswerHasMore)
 {
 	const struct registry *store = platform_store();
-	const short_case &c = GetParam();
+	const truncation_case &c = GetParam();
 	const std::string value(c.value_bytes, 'A');
 	std::string body = "{\"ver\":" + std::to_string(c.rows + c.after_last) +
 			   c.more + ",\"now\":\"1s\",\"rows\":[";
@@ -146,7 +150,8 @@
 	registry_rows_release(&rows);
 }
 
-INSTANTIATE_TEST_SUITE_P(Cases, ShortTest, ::testing::ValuesIn(short_cases),
+INSTANTIATE_TEST_SUITE_P(Cases, TruncationTest,
+			 ::testing::ValuesIn(truncation_cases),
 			 [](const auto &info) { return info.param.name; });
 
 #define LIMITS                                                     \
@@ -168,7 +173,7 @@
 struct columns_case {
 	const char *name;
 	const char *text;
-	bool good;
+	bool valid;
 	uint32_t routes;
 	guint parts; /* of the first route */
 };
@@ -191,18 +196,18 @@
 	{ "RowNoList", ROUTES("7"), false, 0, 0 },
 };
 
-class ColumnsTest : public ::testing::TestWithParam<columns_case>
+class RouteColumnsTest : public ::testing::TestWithParam<columns_case>
 {
 };
 
-TEST_P(ColumnsTest, AreReadAsRoutes)
+TEST_P(RouteColumnsTest, RoutesAreRead)
 {
 	const columns_case &c = GetParam();
 	GError *error = nullptr;
-	struct route_table *table = document_routes(c.text, &error);
+	struct route_table *table = document_parse_routes(c.text, &error);
 
-	EXPECT_EQ(c.good, table != nullptr);
-	EXPECT_EQ(c.good, error == nullptr);
+	EXPECT_EQ(c.valid, table != nullptr);
+	EXPECT_EQ(c.valid, error == nullptr);
 	g_clear_error(&error);
 	if (!table)
 		return;
@@ -220,7 +225,8 @@
 	route_table_unref(table);
 }
 
-INSTANTIATE_TEST_SUITE_P(Cases, ColumnsTest, ::testing::ValuesIn(columns_cases),
+INSTANTIATE_TEST_SUITE_P(Cases, RouteColumnsTest,
+			 ::testing::ValuesIn(columns_cases),
 			 [](const auto &info) { return info.param.name; });
 
 } // namespace
