--- a/packages/ports/clock.h
+++ b/packages/ports/clock.h
@@ -1,9 +1,9 @@
 /*
- * clock - the time that decisions are made on
+ * clock - interface to the monotonic clock that all deadlines are based on
  *
- * Microseconds that only grow and also count while the machine is suspended,
- * so that a paused lease holder sees its lease lapse. Tests pass a clock that
- * they pause and advance.
+ * Microseconds since an arbitrary start. The clock also runs while the machine
+ * is suspended, so that a lease holder that was paused sees its lease expired.
+ * Tests implement a clock that they pause and advance.
  */
 #ifndef PORTS_CLOCK_H
 #define PORTS_CLOCK_H
--- a/packages/ports/dialect.h
+++ b/packages/ports/dialect.h
@@ -1,8 +1,8 @@
 /*
- * dialect - the names that callers and backend servers use on the wire
+ * dialect - the HTTP header, path and parameter names of a platform
  *
- * A translator fills one in. Names of headers are compared without regard to
- * case. All texts live as long as the program.
+ * Each platform provides one constant instance. Header names are compared
+ * case-insensitively. All strings are static.
  */
 #ifndef PORTS_DIALECT_H
 #define PORTS_DIALECT_H
@@ -17,27 +17,28 @@
 struct endpoint;
 
 struct dialect {
-	/* Headers of requests */
-	const char *attempt_id; /* one try of a caller; answers echo it */
-	const char *object_key; /* requests for one object share its value */
-	const char *deadline_ms; /* how long the sender goes on waiting */
-	const char *expect_instance; /* only this start may run the request */
-	const char *caller; /* who sends it, as a backend server can tell */
-
-	/* Headers of answers */
-	const char *not_executed; /* present: the request did not run */
-	const char *seal; /* each success of a backend server bears one */
+	/* Request headers */
+	const char *attempt_id; /* of a caller's attempt; echoed in the answer
+				 */
+	const char *object_key; /* affinity key of an object */
+	const char *deadline_ms; /* remaining time until the sender gives up */
+	const char *expect_instance; /* the only instance that may run it */
+	const char *caller; /* identifies the caller to backend servers */
+
+	/* Response headers */
+	const char *not_executed; /* if present, the request did not run */
+	const char *seal; /* required in each success of a backend server */
 	const char *load; /* "running,waiting,slots" */
-	/* Requests a second that it takes from all nodes together. */
+	/* Max requests/s that a backend server accepts from all nodes. */
 	const char *rate_limit;
 
-	/* What a node answers itself */
+	/* Requests that a node answers itself */
 	const char *ready_path;
 	const char *lookup_path;
-	const char *lookup_region; /* names in the look-up's query */
+	const char *lookup_region; /* query parameters of a look-up */
 	const char *lookup_domain;
 
-	/* The body of a look-up's answer, for g_free(). */
+	/* Return the body of a look-up's answer; free with g_free(). */
 	char *(*format_lookup)(const struct endpoint *entries, uint32_t count,
 			       uint64_t ttl_us);
 };
--- a/packages/ports/platform.h
+++ b/packages/ports/platform.h
@@ -1,10 +1,10 @@
 /*
- * platform - what the platform's services give a node
+ * platform - interface to the platform's services
  *
- * A table of rows with versions, changed by compare-and-set, and the list of
- * live and leaving VMs. Each call may block up to the adapter's time-out. A
- * failure of RESULT_UNSETTLED means that a write may have taken effect; read
- * the row back before anything is built on it.
+ * Tables of versioned rows, changed by compare-and-set, and the list of live
+ * and leaving VMs. Each call may block up to the adapter's timeout.
+ * RESULT_UNSETTLED means that a write may have taken effect; read the row back
+ * before relying on either outcome.
  */
 #ifndef PORTS_PLATFORM_H
 #define PORTS_PLATFORM_H
@@ -21,17 +21,17 @@
 
 struct platform_row {
 	uint64_t version; /* 0: the row does not exist */
-	char *value; /* NUL-terminated, for g_free(); NULL if none */
+	char *value; /* NUL-terminated, owned by the row; NULL if absent */
 };
 
 enum vm_state {
-	VM_UNKNOWN, /* the list does not name it */
+	VM_UNKNOWN, /* not in the list */
 	VM_LIVE,
 	VM_LEAVING,
 };
 
 struct platform_vm {
-	char *address; /* IP number */
+	char *address; /* IP address as text, owned by the list */
 	enum vm_state state;
 };
 
@@ -41,21 +41,21 @@
 };
 
 struct platform_vtable {
-	/* Read a row. RESULT_PLATFORM_UNAVAILABLE if there is no answer. */
+	/* Read a row. RESULT_PLATFORM_UNAVAILABLE without a valid answer. */
 	bool (*read)(struct platform *platform, const char *table,
 		     const char *key, struct platform_row *row, GError **error);
 	/*
-	 * Write if the row's version is expected_version (0: absent); the new
-	 * version is stored through new_version. RESULT_CONFLICT if it was
-	 * another version, RESULT_OUT_OF_RANGE if the value is larger than
-	 * CONFIG_MAX_BYTES, RESULT_PLATFORM_UNAVAILABLE if it surely did not
-	 * take effect, RESULT_UNSETTLED if it may have.
+	 * Write if the row's version is expected_version (0: absent) and set
+	 * *new_version. RESULT_CONFLICT if the row has another version,
+	 * RESULT_OUT_OF_RANGE if the value exceeds CONFIG_MAX_BYTES,
+	 * RESULT_PLATFORM_UNAVAILABLE if the write did not take effect,
+	 * RESULT_UNSETTLED if it may have.
 	 */
 	bool (*write)(struct platform *platform, const char *table,
 		      const char *key, const char *value,
 		      uint64_t expected_version, uint64_t *new_version,
 		      GError **error);
-	/* Read the list of VMs; it lags. */
+	/* Read the list of VMs, which may be out of date. */
 	bool (*list_vms)(struct platform *platform,
 			 struct platform_vm_list *list, GError **error);
 };
--- a/packages/ports/registry.h
+++ b/packages/ports/registry.h
@@ -1,10 +1,9 @@
 /*
- * registry - the platform's tables as a node follows them
+ * registry - interface to the encoding of the platform's tables
  *
- * A translator: it turns calls into HTTP requests and answers into rows and
- * typed records. It keeps nothing and decides nothing; when to call, what an
- * answer means for what is believed, and what to do when none comes is the
- * node's. The codes of enum registry_result say which of these it is.
+ * Composes HTTP requests and decodes answers into rows and typed records. It
+ * has no state and does no I/O: when to call, how to apply an answer and what
+ * to do without one is up to the node, by enum registry_result.
  */
 #ifndef PORTS_REGISTRY_H
 #define PORTS_REGISTRY_H
@@ -26,19 +25,22 @@
 enum registry_table {
 	REGISTRY_CONFIG, /* the operator's rows: routes, evacuations */
 	REGISTRY_BACKENDS, /* backend servers */
-	REGISTRY_MEMBERS, /* our nodes; we write it */
-	REGISTRY_QUARANTINES, /* by fingerprint; we write it, nobody follows */
+	REGISTRY_MEMBERS, /* nodes; each writes its own row */
+	REGISTRY_QUARANTINES, /* by fingerprint; written by nodes, read only at
+				 start */
 };
 
 enum registry_result {
 	REGISTRY_OK,
-	REGISTRY_HISTORY_LOST, /* read the table anew */
-	REGISTRY_REFUSED, /* nothing was done: busy, away, over its rate */
-	REGISTRY_CONFLICT, /* a condition didn't hold; nothing was done */
-	REGISTRY_BAD_ANSWER, /* not what the protocol says */
+	REGISTRY_HISTORY_LOST, /* changes no longer available: read the table in
+				  full */
+	REGISTRY_REFUSED, /* nothing was done: overloaded, unavailable or rate
+			     limited */
+	REGISTRY_CONFLICT, /* a precondition failed; nothing was done */
+	REGISTRY_BAD_ANSWER, /* violates the protocol */
 };
 
-/* An HTTP request; texts are for g_free(). */
+/* An HTTP request to the platform; free with registry_call_release(). */
 struct registry_call {
 	const char *method;
 	char *target;
@@ -47,21 +49,19 @@
 
 struct registry_row {
 	char *key;
-	char *value; /* NUL-terminated; NULL where deleted */
+	char *value; /* NUL-terminated; NULL if deleted or absent */
 	bool deleted;
 	uint64_t version;
 };
 
 struct registry_rows {
 	GArray *rows; /* of struct registry_row */
-	uint64_t version; /* where to follow from; the newest, unless has_more
-			   */
-	/* Read: go on after the last row's key. Follow: from version, at once.
-	 */
+	uint64_t version; /* to follow from; the newest unless has_more */
+	/* More to fetch: read after the last key, follow from version. */
 	bool has_more;
 };
 
-/* A backend server as its row has it; texts are for g_free(). */
+/* Row of a backend server; free with backend_record_release(). */
 struct backend_record {
 	char *service;
 	char *domain;
@@ -69,29 +69,30 @@
 	uint32_t slots;
 	bool draining;
 	uint64_t cold_left_us;
-	uint64_t started_ms; /* since 1970, of its life; 0: not said */
+	uint64_t started_ms; /* start of this incarnation, Unix time; 0: unknown
+			      */
 };
 
-/* One of our nodes as its row has it; texts are for g_free(). */
+/* Row of a node; free with member_record_release(). */
 struct member_record {
 	char *domain;
 	char *region;
-	struct endpoint front;
-	struct endpoint peer;
-	uint32_t link_mbps; /* 0: not said */
+	struct endpoint front; /* for callers */
+	struct endpoint peer; /* for other nodes */
+	uint32_t link_mbps; /* 0: unknown */
 };
 
-/* Servers' lives that a quarantine names at most. */
+/* Max incarnations of crashed servers stored with a quarantine. */
 #define QUARANTINE_MAX_INCARNATIONS 3
 
-/* A quarantined request as its row has it; the text is for g_free(). */
+/* Row of a quarantined request; free with quarantine_record_release(). */
 struct quarantine_record {
-	uint32_t rounds; /* quarantines in a row */
-	uint64_t left_ms; /* of the latest, when it was written */
-	uint64_t written_ms; /* since 1970 */
-	bool by_hand;
-	uint32_t incarnations[QUARANTINE_MAX_INCARNATIONS]; /* of servers that
-							       it ended */
+	uint32_t rounds; /* consecutive quarantines */
+	uint64_t left_ms; /* until the latest ends, as of written_ms */
+	uint64_t written_ms; /* Unix time */
+	bool by_hand; /* set by an operator */
+	/* Servers that crashed while running the request. */
+	uint32_t incarnations[QUARANTINE_MAX_INCARNATIONS];
 	uint32_t incarnation_count;
 	char *request; /* method and path, for operators */
 };
@@ -99,36 +100,38 @@
 enum config_row_kind {
 	CONFIG_ROW_ROUTES, /* the whole configuration */
 	CONFIG_ROW_EVACUATION, /* of a failure domain */
-	CONFIG_ROW_OTHER, /* none of ours */
+	CONFIG_ROW_OTHER, /* unknown key, to be ignored */
 };
 
 struct registry_vtable {
-	/* The rows of a table after a key ("": from the start). */
+	/* Request the rows of a table after a key ("": from the start). */
 	void (*build_read)(const struct registry *registry,
 			   enum registry_table table, const char *after_key,
 			   struct registry_call *call);
 	/*
-	 * What changed after a version, at once or within wait_us: each change
-	 * in order, also those that a later one of the same row replaces.
+	 * Request the changes after a version. The platform holds the call up
+	 * to wait_us until there are any. They come in order, also those that
+	 * a later change to the same row replaces.
 	 */
 	void (*build_follow)(const struct registry *registry,
 			     enum registry_table table, uint64_t after_version,
 			     uint64_t wait_us, struct registry_call *call);
-	/* Put a member's row; record NULL removes it. */
+	/* Request to write a node's row; record NULL removes it. */
 	void (*build_put_member)(const struct registry *registry,
 				 const char *name,
 				 const struct member_record *record,
 				 struct registry_call *call);
-	/* Put a quarantine's row; record NULL removes it. */
+	/* Request to write a quarantine's row; NULL removes it. */
 	void (*build_put_quarantine)(const struct registry *registry,
 				     const char *key,
 				     const struct quarantine_record *record,
 				     struct registry_call *call);
+	/* Decode an answer; rows are empty unless REGISTRY_OK. */
 	enum registry_result (*decode)(const struct registry *registry,
 				       uint32_t status, const char *body,
 				       size_t length,
 				       struct registry_rows *rows);
-	/* RESULT_CONFIG_INVALID where the row can't be read. */
+	/* Decode a row's value. RESULT_CONFIG_INVALID if malformed. */
 	bool (*decode_backend)(const struct registry *registry,
 			       const char *value, struct backend_record *record,
 			       GError **error);
@@ -139,12 +142,12 @@
 				  const char *value,
 				  struct quarantine_record *record,
 				  GError **error);
-	/* What a row of REGISTRY_CONFIG is; domain (for g_free()) if evacuation
-	 */
+	/* Classify a REGISTRY_CONFIG row; for CONFIG_ROW_EVACUATION set
+	 * *domain, to be freed with g_free(). */
 	enum config_row_kind (*classify_config_row)(
 		const struct registry *registry, const char *key,
 		char **domain);
-	/* The routes of the row's value; NULL with the error set. */
+	/* Decode a CONFIG_ROW_ROUTES value; NULL and error on failure. */
 	struct route_table *(*decode_routes)(const struct registry *registry,
 					     const char *value, GError **error);
 };
--- a/tests/edge/documents_test.cc
+++ b/tests/edge/documents_test.cc
@@ -1,4 +1,4 @@
-/* Entries of the platform's tables, from whoever wrote them, as records. */
+/* Parsing of the platform's documents, including malformed ones. */
 #include <gtest/gtest.h>
 
 #include <string>
@@ -50,9 +50,9 @@
 };
 
 /*
- * Somebody else writes into the table of backend servers: fields of other
- * types, states that don't exist, bytes that are no text. Taken as they come,
- * requests went to an address that nobody meant.
+ * Another system writes the table of backend servers: fields of the wrong type,
+ * unknown states, bytes that are not text. Accepted unchecked, they sent
+ * requests to a wrong address.
  */
 TEST_P(BackendDocumentTest, OnlyValidDocumentsAreAccepted)
 {
@@ -82,8 +82,8 @@
 }
 
 /*
- * A key with a NUL makes the whole answer invalid to a strict parser: one entry
- * of another writer took away all servers of a node that starts.
+ * A strict parser rejects the whole answer if one key contains NUL: a single
+ * entry of another writer left a starting node without any servers.
  */
 TEST(StoreDecodeTest, KeyWithNulLeavesTheOtherRows)
 {
@@ -105,13 +105,13 @@
 	registry_rows_release(&rows);
 }
 
-/* Answers that may lack changes which are there: nothing in them says so. */
+/* A truncated answer to a follow call is not marked as such. */
 struct truncation_case {
 	const char *name;
 	int rows;
 	int value_bytes; /* of each */
-	int after_last; /* from the last row's version to the answer's */
-	const char *more; /* what the answer says of it */
+	int after_last; /* answer's version minus the last row's */
+	const char *more; /* has_more field of the answer, if any */
 	bool has_more;
 };
 
@@ -169,13 +169,13 @@
 	"{\"version\":7,\"routes\":{" COLUMNS ",\"rows\":[" rows \
 	"]}," SERVICES "," LIMITS "}"
 
-/* Routes as columns and rows; a document is taken whole or not at all. */
+/* Routes as columns and rows; one malformed row rejects the document. */
 struct columns_case {
 	const char *name;
 	const char *text;
 	bool valid;
 	uint32_t routes;
-	guint parts; /* of the first route */
+	guint services; /* of the first route */
 };
 
 const columns_case columns_cases[] = {
@@ -219,7 +219,7 @@
 	const struct route *route = route_table_find(table, "h", "/p/x");
 	ASSERT_EQ(c.routes > 0, route != nullptr);
 	if (route) {
-		EXPECT_EQ(c.parts, route->parts->len);
+		EXPECT_EQ(c.services, route->parts->len);
 		EXPECT_EQ(2000000u, route->timeout_us);
 	}
 	route_table_unref(table);
