--- a/packages/ports/registry.h
+++ b/packages/ports/registry.h
@@ -25,7 +25,7 @@
 enum registry_table {
 	REGISTRY_CONFIG, /* the operator's rows: routes, evacuations */
 	REGISTRY_BACKENDS, /* backend servers */
-	REGISTRY_MEMBERS, /* nodes; each writes its own row */
+	REGISTRY_MEMBERS, /* nodes; written by nodes */
 	REGISTRY_QUARANTINES, /* by fingerprint; written by nodes, read only at
 				 start */
 };
@@ -142,8 +142,10 @@
 				  const char *value,
 				  struct quarantine_record *record,
 				  GError **error);
-	/* Classify a REGISTRY_CONFIG row; for CONFIG_ROW_EVACUATION set
-	 * *domain, to be freed with g_free(). */
+	/*
+	 * Classify a REGISTRY_CONFIG row; for CONFIG_ROW_EVACUATION set
+	 * *domain, to be freed with g_free().
+	 */
 	enum config_row_kind (*classify_config_row)(
 		const struct registry *registry, const char *key,
 		char **domain);
--- a/tests/edge/documents_test.cc
+++ b/tests/edge/documents_test.cc
@@ -24,13 +24,13 @@
 	{ "Ready", BACKEND("4", "\"ready\"", ""), true },
 	{ "Draining", BACKEND("4", "\"draining\"", ""), true },
 	{ "Cold", BACKEND("4", "\"ready\"", ",\"cold_left\":\"3s\""), true },
-	{ "WithItsStart", BACKEND("4", "\"ready\"", ",\"born\":1777081648000"),
+	{ "WithStart", BACKEND("4", "\"ready\"", ",\"born\":1777081648000"),
 	  true },
 	{ "StartAsText", BACKEND("4", "\"ready\"", ",\"born\":\"1777\""),
 	  false },
 	{ "StartWithAFraction", BACKEND("4", "\"ready\"", ",\"born\":1.5"),
 	  false },
-	{ "StartBeforeTime", BACKEND("4", "\"ready\"", ",\"born\":-1"), false },
+	{ "NegativeStart", BACKEND("4", "\"ready\"", ",\"born\":-1"), false },
 	{ "UnknownState", BACKEND("4", "\"asleep\"", ""), false },
 	{ "StateAsNumber", BACKEND("4", "1", ""), false },
 	{ "SlotsAsText", BACKEND("\"4\"", "\"ready\"", ""), false },
@@ -39,9 +39,9 @@
 	{ "NoAddress",
 	  "{\"service\":\"s\",\"zone\":\"z\",\"slots\":4,\"state\":\"ready\"}",
 	  false },
-	{ "AList", "[1,2]", false },
+	{ "Array", "[1,2]", false },
 	{ "NotJson", "\x01\xff{", false },
-	{ "Nothing", "", false },
+	{ "Empty", "", false },
 };
 
 class BackendDocumentTest
@@ -118,12 +118,12 @@
 const truncation_case truncation_cases[] = {
 	{ "Empty", 0, 4, 0, "", false },
 	{ "OneChange", 1, 4, 0, "", false },
-	{ "AsManyRowsAsFit", 500, 4, 0, "", true },
-	{ "OneLess", 499, 4, 0, "", false },
-	{ "AsManyBytesAsFit", 20, 60000, 0, "", true },
-	{ "AllUpToANewerVersion", 500, 4, 3, "", false },
-	{ "APageThatSaysSo", 500, 4, 0, ",\"has_more\":false", false },
-	{ "APageWithMore", 3, 4, 3, ",\"has_more\":true", true },
+	{ "MaxRows", 500, 4, 0, "", true },
+	{ "OneRowLessThanMax", 499, 4, 0, "", false },
+	{ "NearMaxBytes", 20, 60000, 0, "", true },
+	{ "NewerVersionThanLastRow", 500, 4, 3, "", false },
+	{ "PageWithoutMore", 500, 4, 0, ",\"has_more\":false", false },
+	{ "PageWithMore", 3, 4, 3, ",\"has_more\":true", true },
 };
 
 class TruncationTest : public ::testing::TestWithParam<truncation_case>
@@ -181,7 +181,7 @@
 const columns_case columns_cases[] = {
 	{ "None", ROUTES(""), true, 0, 0 },
 	{ "OneService", ROUTES(ROW("\"a\"", "null,[],\"s\"")), true, 1, 1 },
-	{ "ASplit",
+	{ "Split",
 	  ROUTES(ROW("\"a\"", "[{\"service\":\"s\",\"weight\":9},"
 			      "{\"service\":\"t\",\"weight\":1}],[],null")),
 	  true, 1, 2 },
@@ -193,7 +193,7 @@
 	{ "NameAsNumber", ROUTES(ROW("5", "null,[],\"s\"")), false, 0, 0 },
 	{ "NoService", ROUTES(ROW("\"a\"", "null,[],null")), false, 0, 0 },
 	{ "ShortRow", ROUTES("[\"a\",\"h\"]"), false, 0, 0 },
-	{ "RowNoList", ROUTES("7"), false, 0, 0 },
+	{ "RowIsNotAnArray", ROUTES("7"), false, 0, 0 },
 };
 
 class RouteColumnsTest : public ::testing::TestWithParam<columns_case>
