--- a/tests/edge/documents_test.cc
+++ b/tests/edge/documents_test.cc
@@ -1,4 +1,4 @@
-/* Entries of the platform's tables, from whoever wrote them, as records. */
+/* Parsing of the platform's documents, including malformed ones. */
 #include <gtest/gtest.h>
 
 #include <string>
@@ -10,78 +10,82 @@
 namespace
 {
 
-struct entry_case {
+struct backend_document_case {
 	const char *name;
 	const char *text;
-	bool good;
+	bool valid;
 };
 
-#define ENTRY(slots, state, more)                                     \
+#define BACKEND(slots, state, more)                                   \
 	"{\"service\":\"s\",\"addr\":\"10.0.0.1:80\",\"zone\":\"z\"," \
 	"\"version\":\"v1\",\"slots\":" slots ",\"state\":" state more "}"
 
-const entry_case entry_cases[] = {
-	{ "Ready", ENTRY("4", "\"ready\"", ""), true },
-	{ "Draining", ENTRY("4", "\"draining\"", ""), true },
-	{ "Cold", ENTRY("4", "\"ready\"", ",\"cold_left\":\"3s\""), true },
-	{ "WithItsStart", ENTRY("4", "\"ready\"", ",\"born\":1777081648000"),
+const backend_document_case backend_document_cases[] = {
+	{ "Ready", BACKEND("4", "\"ready\"", ""), true },
+	{ "Draining", BACKEND("4", "\"draining\"", ""), true },
+	{ "Cold", BACKEND("4", "\"ready\"", ",\"cold_left\":\"3s\""), true },
+	{ "WithStart", BACKEND("4", "\"ready\"", ",\"born\":1777081648000"),
 	  true },
-	{ "StartAsText", ENTRY("4", "\"ready\"", ",\"born\":\"1777\""), false },
-	{ "StartWithAFraction", ENTRY("4", "\"ready\"", ",\"born\":1.5"),
+	{ "StartAsText", BACKEND("4", "\"ready\"", ",\"born\":\"1777\""),
+	  false },
+	{ "StartWithAFraction", BACKEND("4", "\"ready\"", ",\"born\":1.5"),
+	  false },
+	{ "NegativeStart", BACKEND("4", "\"ready\"", ",\"born\":-1"), false },
+	{ "UnknownState", BACKEND("4", "\"asleep\"", ""), false },
+	{ "StateAsNumber", BACKEND("4", "1", ""), false },
+	{ "SlotsAsText", BACKEND("\"4\"", "\"ready\"", ""), false },
+	{ "ColdAsNumber", BACKEND("4", "\"ready\"", ",\"cold_left\":3"),
 	  false },
-	{ "StartBeforeTime", ENTRY("4", "\"ready\"", ",\"born\":-1"), false },
-	{ "UnknownState", ENTRY("4", "\"asleep\"", ""), false },
-	{ "StateAsNumber", ENTRY("4", "1", ""), false },
-	{ "SlotsAsText", ENTRY("\"4\"", "\"ready\"", ""), false },
-	{ "ColdAsNumber", ENTRY("4", "\"ready\"", ",\"cold_left\":3"), false },
 	{ "NoAddress",
 	  "{\"service\":\"s\",\"zone\":\"z\",\"slots\":4,\"state\":\"ready\"}",
 	  false },
-	{ "AList", "[1,2]", false },
+	{ "Array", "[1,2]", false },
 	{ "NotJson", "\x01\xff{", false },
-	{ "Nothing", "", false },
+	{ "Empty", "", false },
 };
 
-class EntryTest : public ::testing::TestWithParam<entry_case>
+class BackendDocumentTest
+    : public ::testing::TestWithParam<backend_document_case>
 {
 };
 
 /*
- * Somebody else writes into the table of backend servers: fields of other
- * types, states that don't exist, bytes that are no text. Taken as they come,
- * requests went to an address that nobody meant.
+ * Another system writes the table of backend servers: fields of the wrong type,
+ * unknown states, bytes that are not text. Accepted unchecked, they sent
+ * requests to a wrong address.
  */
-TEST_P(EntryTest, OnlyAWholeEntryNamesAServer)
+TEST_P(BackendDocumentTest, OnlyValidDocumentsAreAccepted)
 {
 	struct backend_record record;
 	GError *error = nullptr;
 
-	EXPECT_EQ(GetParam().good,
-		  document_backend(GetParam().text, &record, &error));
-	EXPECT_EQ(GetParam().good, error == nullptr);
+	EXPECT_EQ(GetParam().valid,
+		  document_parse_backend(GetParam().text, &record, &error));
+	EXPECT_EQ(GetParam().valid, error == nullptr);
 	g_clear_error(&error);
 	backend_record_release(&record);
 }
 
-INSTANTIATE_TEST_SUITE_P(Cases, EntryTest, ::testing::ValuesIn(entry_cases),
+INSTANTIATE_TEST_SUITE_P(Cases, BackendDocumentTest,
+			 ::testing::ValuesIn(backend_document_cases),
 			 [](const auto &info) { return info.param.name; });
 
-TEST(EntryStartTest, TheStartIsRead)
+TEST(BackendStartTimeTest, StartTimeIsRead)
 {
 	struct backend_record record;
 
-	ASSERT_TRUE(document_backend(ENTRY("4", "\"ready\"",
-					   ",\"born\":1777081648000"),
-				     &record, nullptr));
+	ASSERT_TRUE(document_parse_backend(BACKEND("4", "\"ready\"",
+						   ",\"born\":1777081648000"),
+					   &record, nullptr));
 	EXPECT_EQ(1777081648000u, record.started_ms);
 	backend_record_release(&record);
 }
 
 /*
- * A key with a NUL makes the whole answer invalid to a strict parser: one entry
- * of another writer took away all servers of a node that starts.
+ * A strict parser rejects the whole answer if one key contains NUL: a single
+ * entry of another writer left a starting node without any servers.
  */
-TEST(StoreDecodeTest, AStrangeKeyLeavesTheOtherRows)
+TEST(StoreDecodeTest, KeyWithNulLeavesTheOtherRows)
 {
 	const struct registry *store = platform_store();
 	const std::string body =
@@ -101,35 +105,35 @@
 	registry_rows_release(&rows);
 }
 
-/* Answers that may lack changes which are there: nothing in them says so. */
-struct short_case {
+/* A truncated answer to a follow call is not marked as such. */
+struct truncation_case {
 	const char *name;
 	int rows;
 	int value_bytes; /* of each */
-	int after_last; /* from the last row's version to the answer's */
-	const char *more; /* what the answer says of it */
+	int after_last; /* answer's version minus the last row's */
+	const char *more; /* has_more field of the answer, if any */
 	bool has_more;
 };
 
-const short_case short_cases[] = {
+const truncation_case truncation_cases[] = {
 	{ "Empty", 0, 4, 0, "", false },
 	{ "OneChange", 1, 4, 0, "", false },
-	{ "AsManyRowsAsFit", 500, 4, 0, "", true },
-	{ "OneLess", 499, 4, 0, "", false },
-	{ "AsManyBytesAsFit", 20, 60000, 0, "", true },
-	{ "AllUpToANewerVersion", 500, 4, 3, "", false },
-	{ "APageThatSaysSo", 500, 4, 0, ",\"has_more\":false", false },
-	{ "APageWithMore", 3, 4, 3, ",\"has_more\":true", true },
+	{ "MaxRows", 500, 4, 0, "", true },
+	{ "OneRowLessThanMax", 499, 4, 0, "", false },
+	{ "NearMaxBytes", 20, 60000, 0, "", true },
+	{ "NewerVersionThanLastRow", 500, 4, 3, "", false },
+	{ "PageWithoutMore", 500, 4, 0, ",\"has_more\":false", false },
+	{ "PageWithMore", 3, 4, 3, ",\"has_more\":true", true },
 };
 
-class ShortTest : public ::testing::TestWithParam<short_case>
+class TruncationTest : public ::testing::TestWithParam<truncation_case>
 {
 };
 
-TEST_P(ShortTest, WhatMayBeCutShortHasMore)
+TEST_P(TruncationTest, PossiblyTruncatedAnswerHasMore)
 {
 	const struct registry *store = platform_store();
-	const short_case &c = GetParam();
+	const truncation_case &c = GetParam();
 	const std::string value(c.value_bytes, 'A');
 	std::string body = "{\"ver\":" + std::to_string(c.rows + c.after_last) +
 			   c.more + ",\"now\":\"1s\",\"rows\":[";
@@ -146,7 +150,8 @@
 	registry_rows_release(&rows);
 }
 
-INSTANTIATE_TEST_SUITE_P(Cases, ShortTest, ::testing::ValuesIn(short_cases),
+INSTANTIATE_TEST_SUITE_P(Cases, TruncationTest,
+			 ::testing::ValuesIn(truncation_cases),
 			 [](const auto &info) { return info.param.name; });
 
 #define LIMITS                                                     \
@@ -164,19 +169,19 @@
 	"{\"version\":7,\"routes\":{" COLUMNS ",\"rows\":[" rows \
 	"]}," SERVICES "," LIMITS "}"
 
-/* Routes as columns and rows; a document is taken whole or not at all. */
+/* Routes as columns and rows; one malformed row rejects the document. */
 struct columns_case {
 	const char *name;
 	const char *text;
-	bool good;
+	bool valid;
 	uint32_t routes;
-	guint parts; /* of the first route */
+	guint services; /* of the first route */
 };
 
 const columns_case columns_cases[] = {
 	{ "None", ROUTES(""), true, 0, 0 },
 	{ "OneService", ROUTES(ROW("\"a\"", "null,[],\"s\"")), true, 1, 1 },
-	{ "ASplit",
+	{ "Split",
 	  ROUTES(ROW("\"a\"", "[{\"service\":\"s\",\"weight\":9},"
 			      "{\"service\":\"t\",\"weight\":1}],[],null")),
 	  true, 1, 2 },
@@ -188,21 +193,21 @@
 	{ "NameAsNumber", ROUTES(ROW("5", "null,[],\"s\"")), false, 0, 0 },
 	{ "NoService", ROUTES(ROW("\"a\"", "null,[],null")), false, 0, 0 },
 	{ "ShortRow", ROUTES("[\"a\",\"h\"]"), false, 0, 0 },
-	{ "RowNoList", ROUTES("7"), false, 0, 0 },
+	{ "RowIsNotAnArray", ROUTES("7"), false, 0, 0 },
 };
 
-class ColumnsTest : public ::testing::TestWithParam<columns_case>
+class RouteColumnsTest : public ::testing::TestWithParam<columns_case>
 {
 };
 
-TEST_P(ColumnsTest, AreReadAsRoutes)
+TEST_P(RouteColumnsTest, RoutesAreRead)
 {
 	const columns_case &c = GetParam();
 	GError *error = nullptr;
-	struct route_table *table = document_routes(c.text, &error);
+	struct route_table *table = document_parse_routes(c.text, &error);
 
-	EXPECT_EQ(c.good, table != nullptr);
-	EXPECT_EQ(c.good, error == nullptr);
+	EXPECT_EQ(c.valid, table != nullptr);
+	EXPECT_EQ(c.valid, error == nullptr);
 	g_clear_error(&error);
 	if (!table)
 		return;
@@ -214,13 +219,14 @@
 	const struct route *route = route_table_find(table, "h", "/p/x");
 	ASSERT_EQ(c.routes > 0, route != nullptr);
 	if (route) {
-		EXPECT_EQ(c.parts, route->services->len);
+		EXPECT_EQ(c.services, route->services->len);
 		EXPECT_EQ(2000000u, route->timeout_us);
 	}
 	route_table_unref(table);
 }
 
-INSTANTIATE_TEST_SUITE_P(Cases, ColumnsTest, ::testing::ValuesIn(columns_cases),
+INSTANTIATE_TEST_SUITE_P(Cases, RouteColumnsTest,
+			 ::testing::ValuesIn(columns_cases),
 			 [](const auto &info) { return info.param.name; });
 
 } // namespace
