--- a/packages/edge/heartbeat.c
+++ b/packages/edge/heartbeat.c
@@ -62,7 +62,7 @@
 	g_variant_builder_init(rates, G_VARIANT_TYPE(RATES_TYPE));
 	for (i = 0; i < heartbeat->rate_count; i++)
 		g_variant_builder_add(
-			rates, "(udu)", heartbeat->rates[i].life,
+			rates, "(udu)", heartbeat->rates[i].incarnation,
 			heartbeat->rates[i].per_s,
 			(guint32)(heartbeat->rates[i].age_us / US_PER_MS));
 }
@@ -310,7 +310,7 @@
 		struct rate_update *update =
 			&heartbeat->rates[heartbeat->rate_count++];
 
-		update->life = incarnation;
+		update->incarnation = incarnation;
 		update->per_s = per_s;
 		update->age_us = age_ms * US_PER_MS;
 	}
--- a/tests/edge/heartbeat_test.cc
+++ b/tests/edge/heartbeat_test.cc
@@ -113,7 +113,7 @@
 	std::string bytes = encode(heartbeat);
 	ASSERT_LE(bytes.size(), (size_t)HEARTBEAT_MAX_BYTES);
 	ASSERT_TRUE(heartbeat_decode(bytes.data(), bytes.size(), &got));
-	EXPECT_EQ(7u, got.rates[19].life);
+	EXPECT_EQ(7u, got.rates[19].incarnation);
 	EXPECT_DOUBLE_EQ(1.8, got.rates[19].per_s);
 	EXPECT_EQ(2000000u, got.rates[19].age_us);
 	EXPECT_EQ(9u, got.tokens[7].incarnation);
