--- a/packages/core/admin_where.c
+++ b/packages/core/admin_where.c
@@ -18,7 +18,8 @@
 };
 
 static const struct steer_place_view *
-find_view(const struct admin_live_state *live, uint32_t service, uint32_t place)
+find_place_view(const struct admin_live_state *live, uint32_t service,
+		uint32_t place)
 {
 	uint32_t i;
 
@@ -57,7 +58,7 @@
 	static const struct steer_place_view unknown = { .report_age_us =
 								 UINT64_MAX };
 	const struct config *config = where_query->context->config;
-	const struct steer_place_view *live = find_view(
+	const struct steer_place_view *live = find_place_view(
 		where_query->context->live, where_query->service, place);
 	const struct steer_place_view *view = live ? live : &unknown;
 	const struct gate_summary *report = &view->report;
--- a/packages/core/build_options.h
+++ b/packages/core/build_options.h
@@ -24,7 +24,7 @@
 #define CONFIG_MAX_NODES 16384
 #define CONFIG_MAX_BACKENDS 262144
 #define CONFIG_MAX_LINKS 65536
-#define CONFIG_MAX_BLOCKS 1048576
+#define CONFIG_MAX_CIDR_BLOCKS 1048576
 
 /* Ids of the latest commands, kept in the configuration document. */
 #define CONFIG_COMMANDS_KEPT 64
--- a/packages/core/candidate.c
+++ b/packages/core/candidate.c
@@ -291,11 +291,11 @@
 	candidate->cost_us += round_trip_us;
 }
 
-struct backend *candidates_best_limited(const struct chooser *chooser,
-					const struct choose_query *query,
-					const struct service_times *times,
-					double cost_us, bool may_leave,
-					uint64_t now_us)
+struct backend *candidates_best_rate_limited(const struct chooser *chooser,
+					     const struct choose_query *query,
+					     const struct service_times *times,
+					     double cost_us, bool may_leave,
+					     uint64_t now_us)
 {
 	const GPtrArray *backends = backend_table_by_service(
 		chooser->backends, query->service->name);
--- a/packages/core/candidate.h
+++ b/packages/core/candidate.h
@@ -57,11 +57,11 @@
  * than cost_us; of another region only if may_leave. Servers whose quota
  * holders have just had no token to lend are skipped. NULL if there is none.
  */
-struct backend *candidates_best_limited(const struct chooser *chooser,
-					const struct choose_query *query,
-					const struct service_times *times,
-					double cost_us, bool may_leave,
-					uint64_t now_us);
+struct backend *candidates_best_rate_limited(const struct chooser *chooser,
+					     const struct choose_query *query,
+					     const struct service_times *times,
+					     double cost_us, bool may_leave,
+					     uint64_t now_us);
 
 /*
  * Whether some server has the object in its cache, or soon will, and is faster
--- a/packages/core/choose.c
+++ b/packages/core/choose.c
@@ -31,7 +31,7 @@
 /* How long after a loss requests may leave the region without limit. */
 #define FREE_AFTER_LOSS_US (5 * US_PER_S)
 
-/* Retry time for a service without any usable server (CHOOSE_NONE_KNOWN). */
+/* Retry time for a service without any usable server (CHOOSE_NONE_USABLE). */
 #define RETRY_UNKNOWN_US (1 * US_PER_S)
 
 static bool avoids_cold_runs(const struct chooser *chooser,
@@ -327,7 +327,7 @@
 		choice->retry_after_us =
 			rate_retry_after_us(chooser, query, per_s, now_us);
 	} else {
-		choice->reason = CHOOSE_NONE_KNOWN;
+		choice->reason = CHOOSE_NONE_USABLE;
 		choice->retry_after_us = RETRY_UNKNOWN_US;
 	}
 }
@@ -344,7 +344,7 @@
 
 	memset(choice, 0, sizeof(*choice));
 	best = pick(chooser, query, times, candidates, now_us);
-	choice->best_limited = candidates_best_limited(
+	choice->best_limited = candidates_best_rate_limited(
 		chooser, query, times, best ? best->cost_us : INFINITY,
 		may_leave(chooser, query, best, now_us), now_us);
 	if (best && best->hold_us > 0 && !best->trial &&
--- a/packages/core/chooser.c
+++ b/packages/core/chooser.c
@@ -144,7 +144,7 @@
 		return "trial";
 	case CHOOSE_HOLD:
 		return "hold";
-	case CHOOSE_NONE_KNOWN:
+	case CHOOSE_NONE_USABLE:
 		return "none-known";
 	case CHOOSE_NONE_FREE:
 		return "none-free";
--- a/packages/core/config_decode.c
+++ b/packages/core/config_decode.c
@@ -340,7 +340,7 @@
 	[CONFIG_LIST_BACKENDS] = { CONFIG_MAX_BACKENDS, "name", read_backend },
 	[CONFIG_LIST_LINKS] = { CONFIG_MAX_LINKS, NULL, read_link },
 	[CONFIG_LIST_SHIFTS] = { CONFIG_MAX_SHIFTS, "id", read_shift },
-	[CONFIG_LIST_BLOCKS] = { CONFIG_MAX_BLOCKS, NULL, read_block },
+	[CONFIG_LIST_BLOCKS] = { CONFIG_MAX_CIDR_BLOCKS, NULL, read_block },
 	[CONFIG_LIST_COMMANDS] = { CONFIG_COMMANDS_KEPT, "id", read_command },
 };
 
--- a/packages/core/steer_place.h
+++ b/packages/core/steer_place.h
@@ -69,7 +69,7 @@
 	uint64_t base_raised_us;
 
 	uint32_t window_milli; /* in thousandths; or WINDOW_UNLIMITED */
-	uint64_t window_refused_milli; /* size before the last cut */
+	uint64_t window_at_refusal_milli; /* size before the last cut */
 	uint64_t window_cut_us;
 	uint64_t closed_until_us;
 	uint64_t sent_us; /* when the last request was sent */
--- a/packages/core/steer_place_record.c
+++ b/packages/core/steer_place_record.c
@@ -76,7 +76,8 @@
 static void grow_window(struct steer_place *place)
 {
 	uint64_t in_flight_milli = (own_in_flight(place) + 1ull) * MILLI;
-	uint64_t near = place->window_refused_milli * WINDOW_NEAR_PERCENT / 100;
+	uint64_t near =
+		place->window_at_refusal_milli * WINDOW_NEAR_PERCENT / 100;
 	uint32_t growth;
 	uint64_t slots = MAX(place->spec.slots, 1);
 
@@ -102,7 +103,7 @@
 	    elapsed_us(place->window_cut_us, now_us) < interval_us)
 		return;
 	window = MIN(window, place->window_milli);
-	place->window_refused_milli = window;
+	place->window_at_refusal_milli = window;
 	window = MAX(window * WINDOW_CUT_PERCENT / 100, MILLI);
 	place->window_milli = (uint32_t)window;
 	place->window_cut_us = now_us;
--- a/packages/core/suspect_evidence.c
+++ b/packages/core/suspect_evidence.c
@@ -67,7 +67,7 @@
 		if (entry->crashes[i].at_us > before_us)
 			entry->crashes[kept++] = entry->crashes[i];
 	entry->crash_count = kept;
-	entry->counted_crashes = MIN(entry->counted_crashes, kept);
+	entry->evidence_crashes = MIN(entry->evidence_crashes, kept);
 }
 
 static void drop_crashes_of_live_servers(struct suspect *entry,
@@ -114,17 +114,17 @@
 bool suspect_recount_crashes(struct suspect_table *table, struct suspect *entry,
 			     const struct backend_table *backends)
 {
-	uint32_t before = entry->counted_crashes;
+	uint32_t before = entry->evidence_crashes;
 	uint32_t i;
 
 	drop_crashes_of_live_servers(entry, backends);
-	entry->counted_crashes = 0;
+	entry->evidence_crashes = 0;
 	for (i = 0; i < entry->crash_count; i++) {
 		set_domain(backends, &entry->crashes[i]);
-		entry->counted_crashes +=
+		entry->evidence_crashes +=
 			is_evidence(table, entry, &entry->crashes[i]);
 	}
-	return entry->counted_crashes != before;
+	return entry->evidence_crashes != before;
 }
 
 /* --- attribution --------------------------------------------------------- */
@@ -142,7 +142,7 @@
 
 static bool has_quarantine_crashes(const struct suspect *entry)
 {
-	return entry->counted_crashes >= SUSPECT_QUARANTINE_CRASHES;
+	return entry->evidence_crashes >= SUSPECT_QUARANTINE_CRASHES;
 }
 
 static bool has_crash_of(const struct suspect *entry, uint32_t incarnation)
@@ -196,7 +196,7 @@
 			mark_shared(entry, &table->entries[i], is_shared);
 	for (i = 0; i < entry->crash_count; i++)
 		exclusive += !is_shared[i];
-	return MIN(exclusive, entry->counted_crashes);
+	return MIN(exclusive, entry->evidence_crashes);
 }
 
 /* Largest number of exclusive crashes of a request that may explain these. */
@@ -236,7 +236,7 @@
 	if (!exclusive)
 		return ATTRIBUTION_OTHER;
 	if (exclusive > 1 ||
-	    entry->counted_crashes > SUSPECT_QUARANTINE_CRASHES)
+	    entry->evidence_crashes > SUSPECT_QUARANTINE_CRASHES)
 		return ATTRIBUTION_CAUSE;
 	others_exclusive = max_others_exclusive(table, entry);
 	if (others_exclusive == 1)
--- a/packages/core/suspect_table.c
+++ b/packages/core/suspect_table.c
@@ -54,8 +54,8 @@
 /* Whether a is evicted first: it has less evidence against it, or is older. */
 static bool is_evicted_before(const struct suspect *a, const struct suspect *b)
 {
-	if (a->counted_crashes != b->counted_crashes)
-		return a->counted_crashes < b->counted_crashes;
+	if (a->evidence_crashes != b->evidence_crashes)
+		return a->evidence_crashes < b->evidence_crashes;
 	return a->updated_us < b->updated_us;
 }
 
@@ -108,7 +108,7 @@
  */
 static bool is_strong_suspect(const struct suspect *entry)
 {
-	return entry->rounds || entry->counted_crashes > 1;
+	return entry->rounds || entry->evidence_crashes > 1;
 }
 
 static void mark_changed(struct suspect *entry, uint8_t times, uint64_t now_us)
@@ -323,7 +323,7 @@
 			entry->until_us > now_us ? entry->until_us - now_us : 0;
 		return;
 	}
-	if (!entry->rounds && !entry->counted_crashes)
+	if (!entry->rounds && !entry->evidence_crashes)
 		return;
 	decision->isolated = is_strong_suspect(entry);
 	decision->needs_claim = decision->isolated && !has_claimed;
@@ -592,7 +592,7 @@
 	drop_ended_runs(table, now_us);
 	for (i = 0; table->count && i < SUSPECT_MAX_ENTRIES; i++) {
 		const struct suspect *entry = &table->entries[i];
-		bool cleared = !entry->counted_crashes && !entry->rounds;
+		bool cleared = !entry->evidence_crashes && !entry->rounds;
 		uint64_t keep_us = cleared ? CLEARED_TTL_US : SUSPECT_TTL_US;
 		uint64_t from_us = MAX(entry->updated_us, entry->until_us);
 
--- a/packages/core/suspect_table.h
+++ b/packages/core/suspect_table.h
@@ -90,7 +90,7 @@
 	uint64_t fingerprint;
 	struct suspect_crash crashes[SUSPECT_MAX_CRASHES];
 	uint32_t crash_count;
-	uint32_t counted_crashes; /* crashes that count as evidence */
+	uint32_t evidence_crashes; /* crashes that count as evidence */
 	uint32_t rounds; /* consecutive quarantines; 0: none */
 	bool by_hand; /* quarantined by an operator, without crashes */
 	bool seen_locally; /* this node saw a server crash while running it */
--- a/packages/edge/admin_suspects.c
+++ b/packages/edge/admin_suspects.c
@@ -16,7 +16,7 @@
 static const char *state_of(const struct suspect *suspect, uint64_t now_us)
 {
 	if (!suspect->rounds)
-		return suspect->counted_crashes ? "suspect" : "cleared";
+		return suspect->evidence_crashes ? "suspect" : "cleared";
 	return suspect->until_us > now_us ? "quarantined" : "to be tried";
 }
 
--- a/tests/core/choose_test.cc
+++ b/tests/core/choose_test.cc
@@ -115,7 +115,7 @@
 
 TEST_F(ChooseTest, NoneKnownAndNoneFreeAreDifferentReasons)
 {
-	EXPECT_EQ(CHOOSE_NONE_KNOWN, choose().reason);
+	EXPECT_EQ(CHOOSE_NONE_USABLE, choose().reason);
 	struct backend *only = add("i-1");
 	for (int i = 0; i < 8; i++)
 		backend_begin(only, 1000, now_us);
--- a/tests/core/suspect_table_test.cc
+++ b/tests/core/suspect_table_test.cc
@@ -192,13 +192,13 @@
 		suspect_table_find(table, 100 + (uint64_t)c.ended - 1);
 
 	EXPECT_EQ(1u, last->crash_count);
-	EXPECT_EQ(c.counted, last->counted_crashes);
+	EXPECT_EQ(c.counted, last->evidence_crashes);
 	EXPECT_EQ(c.has_culprit,
 		  decide(culprit).verdict == SUSPECT_QUARANTINED);
 	now_us += US_PER_S;
 	for (int i = 0; i < 2; i++)
 		crash(next_life++, last->fingerprint);
-	EXPECT_EQ(c.counted + 2, last->counted_crashes);
+	EXPECT_EQ(c.counted + 2, last->evidence_crashes);
 }
 
 INSTANTIATE_TEST_SUITE_P(Cases, DomainTest, ::testing::ValuesIn(domain_cases),
