--- a/packages/core/backend_table.h
+++ b/packages/core/backend_table.h
@@ -116,7 +116,8 @@
 
 /* Kept of a backend server after its removal. */
 struct removed_row {
-	uint64_t version; /* of the list that lacked it */
+	/* Of the deleted or invalid row, or of the list that lacked it. */
+	uint64_t version;
 	uint64_t at_us;
 };
 
@@ -139,8 +140,9 @@
 			       const struct backend_info *info);
 
 /*
- * Removes a server that the list of this version (0: unknown) lacks; ignored
- * where a newer row is known. After an outage of the list its row may only have
+ * Removes a server. The version (0: unknown) is that of its deleted or invalid
+ * row, or of the complete list that lacks it; ignored where a newer row is
+ * known. After an outage of the list its row may only have
  * expired there; the server is then kept until keep_until_us (0: remove it at
  * once). A draining server is always removed at once.
  */
@@ -148,7 +150,10 @@
 			  uint64_t version, uint64_t keep_until_us,
 			  uint64_t now_us);
 
-/* Version of the list that last removed the server; 0: unknown. */
+/*
+ * Version at which the server was last removed: of its deleted or invalid row,
+ * or of the complete list that lacked it; 0: unknown.
+ */
 uint64_t backend_table_removed_version(const struct backend_table *table,
 				       const char *id);
 
@@ -243,7 +248,10 @@
 void backend_unreachable(struct backend_table *table, struct backend *backend,
 			 uint64_t now_us);
 
-/* Sends to it while cold within the last second, at most COLD_LOG_SIZE. */
+/*
+ * Number of requests that this node sent to it in the last second while it was
+ * cold; at most COLD_LOG_SIZE.
+ */
 uint32_t backend_cold_sends(const struct backend *backend, uint64_t now_us);
 
 #ifdef __cplusplus
--- a/packages/core/choose.c
+++ b/packages/core/choose.c
@@ -95,7 +95,8 @@
 }
 
 /*
- * A server of this region that isn't warm for the object and has free slots.
+ * A server of this region that isn't warm for the object, whose queue isn't
+ * full and where this node's own requests take less than half of the slots.
  * Without trials a new server would never be chosen while another is warm.
  */
 static struct candidate *find_unwarmed(const GArray *candidates)
--- a/packages/core/choose.h
+++ b/packages/core/choose.h
@@ -85,7 +85,8 @@
 	CHOOSE_RANK, /* not warm; cheapest by rendezvous order and load */
 	CHOOSE_TRIAL, /* to warm one more server for the object */
 	CHOOSE_HOLD, /* none yet: wait, a server will soon be warm */
-	CHOOSE_NONE_USABLE, /* no server, or filters exclude all */
+	/* No server passes the filters, even without the rate limits. */
+	CHOOSE_NONE_USABLE,
 	CHOOSE_NONE_FREE, /* all are full, or too slow for the time left */
 	CHOOSE_NO_RATE, /* no token for servers that pass all other filters */
 };
--- a/packages/core/duration.h
+++ b/packages/core/duration.h
@@ -1,5 +1,5 @@
 /*
- * duration - time spans as text: "250ms", "2.5s"
+ * duration - time spans as people write them: "250ms", "2.5s"
  */
 #ifndef CORE_DURATION_H
 #define CORE_DURATION_H
--- a/packages/core/lookup.c
+++ b/packages/core/lookup.c
@@ -48,7 +48,10 @@
 	uint32_t region_count;
 };
 
-/* Nodes found at home, in the home region or in other regions. */
+/*
+ * Nodes found in one of: the home place, the rest of the home region, the other
+ * regions.
+ */
 struct node_list {
 	uint32_t nodes[LOOKUP_MAX_NODES];
 	uint32_t count;
--- a/packages/core/member_table.c
+++ b/packages/core/member_table.c
@@ -223,16 +223,17 @@
 static uint32_t insert_reader(const struct member **first, uint32_t count,
 			      uint32_t max, const struct member *member)
 {
-	uint32_t at;
+	uint32_t position;
 
 	if (count < max)
 		count++;
 	else if (!is_preferred_reader(member, first[count - 1]))
 		return count;
-	for (at = count - 1;
-	     at > 0 && is_preferred_reader(member, first[at - 1]); at--)
-		first[at] = first[at - 1];
-	first[at] = member;
+	for (position = count - 1;
+	     position > 0 && is_preferred_reader(member, first[position - 1]);
+	     position--)
+		first[position] = first[position - 1];
+	first[position] = member;
 	return count;
 }
 
--- a/packages/core/member_table.h
+++ b/packages/core/member_table.h
@@ -37,7 +37,7 @@
 	uint64_t heartbeat; /* highest number received */
 	uint64_t heartbeat_us; /* when that number was received; 0: never */
 	uint64_t listed_us; /* when its row was first read; 0: unknown */
-	bool leaving; /* it takes no requests: stops, or still starts */
+	bool leaving; /* takes no requests: is stopping or still starting */
 };
 
 struct member_table {
--- a/packages/core/read_plan.c
+++ b/packages/core/read_plan.c
@@ -59,7 +59,11 @@
 		set_step(step, READ_PEER, READ_AT_START, ASK_INTERVAL_US);
 }
 
-/* The retries of one table show for all whether the platform is back. */
+/*
+ * Whether the retries for another table suffice: they show when the platform is
+ * back, so this node needn't retry for this one, too. The first nodes of the
+ * region retry for each table.
+ */
 static bool leaves_retry_to_other_table(const struct read_state *state)
 {
 	return state->other_table_fails && state->rank >= READ_FIRST_NODES;
--- a/packages/core/seat.h
+++ b/packages/core/seat.h
@@ -2,8 +2,9 @@
  * seat - lease on a quota of a shift's cap
  *
  * A shift's cap, in requests a second, is split into seats with a quota each:
- * one seat for each configured node of the receiving place. A seat is a row in
- * a table of the platform. The node that holds the lease on it may admit its
+ * one seat for each node of the receiving place that wasn't drained when the
+ * shift was made, at least 1 and at most SHIFT_MAX_SEATS. A seat is a row in a
+ * table of the platform. The node that holds the lease on it may admit its
  * quota at the receiving place; no period of one second has more admissions
  * than that. Does no I/O: the owner reads and writes the row and passes in the
  * results. Not thread-safe.
--- a/packages/core/steer_place.h
+++ b/packages/core/steer_place.h
@@ -69,7 +69,8 @@
 	uint64_t base_raised_us;
 
 	uint32_t window_milli; /* in thousandths; or WINDOW_UNLIMITED */
-	uint64_t window_at_refusal_milli; /* size before the last cut */
+	/* Own requests in flight at the last cut plus 1; at most the window. */
+	uint64_t window_at_refusal_milli;
 	uint64_t window_cut_us;
 	uint64_t closed_until_us;
 	uint64_t sent_us; /* when the last request was sent */
--- a/packages/core/suspect_table.c
+++ b/packages/core/suspect_table.c
@@ -9,9 +9,11 @@
 #define CLEARED_TTL_US (30 * US_PER_S)
 
 /*
- * Heartbeats that carry a change of a request with two crashes or more, learned
- * by this node or from a peer, besides the broadcast: datagrams may be lost.
- * Other suspects go into no heartbeats: they are many and mostly innocent.
+ * Heartbeats that carry a change, learned by this node or from a peer, besides
+ * the broadcast: datagrams may be lost. Only for requests with two crashes or
+ * more, quarantined ones, and those that an operator quarantined or released.
+ * Suspects with one crash go into no heartbeats: they are many and mostly
+ * innocent.
  */
 #define HEARTBEATS_LOCAL 5
 #define HEARTBEATS_RECEIVED 1
