--- a/packages/core/backend_table.h
+++ b/packages/core/backend_table.h
@@ -142,9 +142,9 @@
 /*
  * Removes a server. The version (0: unknown) is that of its deleted or invalid
  * row, or of the complete list that lacks it; ignored where a newer row is
- * known. After an outage of the list its row may only have
- * expired there; the server is then kept until keep_until_us (0: remove it at
- * once). A draining server is always removed at once.
+ * known. After an outage of the list its row may only have expired there; the
+ * server is then kept until keep_until_us (0: remove it at once). A draining
+ * server is always removed at once.
  */
 void backend_table_remove(struct backend_table *table, const char *id,
 			  uint64_t version, uint64_t keep_until_us,
--- a/packages/core/suspect_table.c
+++ b/packages/core/suspect_table.c
@@ -10,10 +10,9 @@
 
 /*
  * Heartbeats that carry a change, learned by this node or from a peer, besides
- * the broadcast: datagrams may be lost. Only for requests with two crashes or
- * more, quarantined ones, and those that an operator quarantined or released.
- * Suspects with one crash go into no heartbeats: they are many and mostly
- * innocent.
+ * the broadcast: datagrams may be lost. Only for requests that have two crashes
+ * or more, that are or were quarantined, or that an operator released. Suspects
+ * with one crash go into no heartbeats: they are many and mostly innocent.
  */
 #define HEARTBEATS_LOCAL 5
 #define HEARTBEATS_RECEIVED 1
