--- a/packages/core/admin.c
+++ b/packages/core/admin.c
@@ -62,7 +62,7 @@
 		if (!read_member(request, member, value, error))
 			return false;
 	if (!json_object_get(root, "sentence"))
-		return bad_request(error, "sentence: is required");
+		return bad_request(error, "sentence: must be there");
 	return true;
 }
 
--- a/packages/core/admin_show.c
+++ b/packages/core/admin_show.c
@@ -391,7 +391,7 @@
 		return show_version(context);
 	default:
 		g_set_error_literal(error, RESULT_ERROR, RESULT_INTERNAL,
-				    "the sentence is not a show query");
+				    "the sentence shows nothing");
 		return NULL;
 	}
 }
--- a/packages/core/admin_table.c
+++ b/packages/core/admin_table.c
@@ -68,9 +68,8 @@
 	case QUERY_SHOW_VERSION:
 		return admin_show(context, error);
 	default:
-		g_set_error_literal(
-			error, RESULT_ERROR, RESULT_UNKNOWN_NAME,
-			"this kind of node does not have that table");
+		g_set_error_literal(error, RESULT_ERROR, RESULT_UNKNOWN_NAME,
+				    "this kind of node has no such table");
 		return NULL;
 	}
 }
--- a/packages/core/admin_where.c
+++ b/packages/core/admin_where.c
@@ -178,7 +178,7 @@
 		return NULL;
 	if (!where_query.choice) {
 		g_set_error_literal(error, RESULT_ERROR, RESULT_INTERNAL,
-				    "the query has no routing choice");
+				    "no choice was made for the question");
 		return NULL;
 	}
 	return build_where_answer(&where_query);
--- a/packages/core/config_decode.c
+++ b/packages/core/config_decode.c
@@ -57,7 +57,7 @@
 		json_string_value(json_object_get(reader->item, "address"));
 
 	if (!text || !endpoint_is_address(text))
-		return fail_member(reader, "address", "an IPv4 address");
+		return fail_member(reader, "address", "an IPv4 number");
 	g_strlcpy(address, text, NAME_SIZE);
 	return true;
 }
@@ -138,7 +138,7 @@
 	if (!text || !g_hash_table_lookup_extended(reader->names[list], text,
 						   NULL, &found))
 		return fail_member(reader, member,
-				   "a name defined in the document");
+				   "a name that the document lists");
 	*index = GPOINTER_TO_UINT(found);
 	return true;
 }
@@ -154,9 +154,8 @@
 		return fail_member(reader, "", "an object");
 	json_object_foreach (reader->item, key, value) {
 		if (!g_strv_contains(members, key))
-			return fail_member(
-				reader, key,
-				"left out: it is not a known member");
+			return fail_member(reader, key,
+					   "left out: it is unknown");
 	}
 	return true;
 }
@@ -276,7 +275,7 @@
 		      &shift->cap_per_s))
 		return false;
 	if (shift->from == shift->to)
-		return fail_member(reader, "to", "a place other than from");
+		return fail_member(reader, "to", "another place than from");
 	if (!json_object_get(reader->item, "seats")) {
 		shift->seats = config_default_seats(config, shift->to);
 		return true;
@@ -351,7 +350,7 @@
 	if (g_hash_table_insert(names, (gpointer)name,
 				GUINT_TO_POINTER(reader->index)))
 		return true;
-	return fail_member(reader, key, "unique in its list");
+	return fail_member(reader, key, "unlike the others of its list");
 }
 
 static bool read_list(enum config_list which, json_t *json,
--- a/packages/core/query_apply.c
+++ b/packages/core/query_apply.c
@@ -197,13 +197,12 @@
 				     "it comes from",
 				     shift.id, query->to);
 	if (config_find_shift(config, shift.id) != CONFIG_NONE)
-		return fail_conflict(change, "shift '%s' already exists",
+		return fail_conflict(change, "shift '%s' stands already",
 				     shift.id);
 	if (config->shift_count >= CONFIG_MAX_SHIFTS)
-		return fail_conflict(
-			change,
-			"%d shifts exist already, the maximum; cancel one",
-			CONFIG_MAX_SHIFTS);
+		return fail_conflict(change,
+				     "%d shifts stand already; cancel one",
+				     CONFIG_MAX_SHIFTS);
 	shift.seats = config_default_seats(config, shift.to);
 	config_add_shift(config, &shift);
 	return check_shift_target(change, &shift) &&
@@ -320,9 +319,9 @@
 	case QUERY_CMD_START:
 		return apply_stop(change, query);
 	default:
-		g_set_error_literal(
-			change->error, RESULT_ERROR, RESULT_INTERNAL,
-			"the sentence is not a command that can be applied");
+		g_set_error_literal(change->error, RESULT_ERROR,
+				    RESULT_INTERNAL,
+				    "the sentence changes nothing by itself");
 		return false;
 	}
 }
@@ -425,7 +424,7 @@
 static char *describe_shift(const struct query *query, const char *command_id)
 {
 	return g_strdup_printf(
-		"shift %s is in force: service %s from %s to %s, share %u.%u%%, "
+		"shift %s stands: service %s from %s to %s, share %u.%u%%, "
 		"cap %u/s",
 		*query->shift ? query->shift : command_id, query->service,
 		query->from, query->to,
@@ -456,7 +455,7 @@
 		return g_strdup_printf("service %s is started",
 				       query->entity_name);
 	case QUERY_CMD_LOAD:
-		return g_strdup("the configuration is replaced");
+		return g_strdup("the document is replaced");
 	default:
 		return g_strdup("");
 	}
--- a/packages/edge/stats.c
+++ b/packages/edge/stats.c
@@ -13,15 +13,15 @@
 
 static const struct counter counters[] = {
 	{ "lilacfield_requests_total", "requests of callers", AT(requests) },
-	{ "lilacfield_delivered_total",
-	  "answers of backend servers delivered to callers", AT(delivered) },
-	{ "lilacfield_refused_total", "requests refused without being run",
+	{ "lilacfield_delivered_total", "answers of backend servers delivered",
+	  AT(delivered) },
+	{ "lilacfield_refused_total", "requests refused as not run",
 	  AT(refused) },
-	{ "lilacfield_failed_total",
-	  "requests answered 502 or 504 by the node itself", AT(failed) },
-	{ "lilacfield_denied_total", "requests answered 4xx by the node itself",
+	{ "lilacfield_failed_total", "requests that ended 502 or 504",
+	  AT(failed) },
+	{ "lilacfield_denied_total", "requests that ended 4xx of our own",
 	  AT(denied) },
-	{ "lilacfield_cancelled_total", "requests whose caller disconnected",
+	{ "lilacfield_cancelled_total", "requests whose caller left",
 	  AT(cancelled) },
 	{ "lilacfield_sent_total", "requests sent to backend servers",
 	  AT(sent) },
@@ -29,32 +29,29 @@
 	  AT(extra) },
 	{ "lilacfield_connects_total", "connections opened to backend servers",
 	  AT(connects) },
-	{ "lilacfield_shed_total",
-	  "answers of backend servers that say not run", AT(shed) },
+	{ "lilacfield_shed_total", "requests that a backend server did not run",
+	  AT(shed) },
 	{ "lilacfield_strays_total", "answers of other requests, dropped",
 	  AT(strays) },
 	{ "lilacfield_quarantined_total",
-	  "requests refused as quarantined, since servers crashed while running them",
+	  "requests refused since servers crashed under them",
 	  AT(quarantined) },
-	{ "lilacfield_words_rejected_total",
-	  "invalid updates received from peers", AT(updates_rejected) },
+	{ "lilacfield_words_rejected_total", "absurd words of neighbours",
+	  AT(updates_rejected) },
 	{ "lilacfield_lookups_total", "look-ups answered", AT(lookups) },
 	{ "lilacfield_registry_writes_total",
-	  "calls that write rows of nodes or quarantines to the platform",
+	  "calls that write the node's own row or strike one",
 	  AT(registry_writes) },
-	{ "lilacfield_neighbours_asked_total", "calls to peers for tables",
+	{ "lilacfield_neighbours_asked_total", "calls to neighbours for tables",
 	  AT(snapshot_requests) },
-	{ "lilacfield_neighbours_given_total", "answers with tables to peers",
-	  AT(snapshots_served) },
-	{ "lilacfield_registry_failures_total",
-	  "calls that read the platform's tables and failed",
+	{ "lilacfield_neighbours_given_total",
+	  "answers with tables to neighbours", AT(snapshots_served) },
+	{ "lilacfield_registry_failures_total", "of these, without success",
 	  AT(registry_failures) },
-	{ "lilacfield_registry_bytes_total",
-	  "bytes of the platform's answers that were decoded",
+	{ "lilacfield_registry_bytes_total", "bytes of the platform's answers",
 	  AT(registry_bytes) },
 	{ "lilacfield_registry_lost_bytes_total",
-	  "bytes of the platform's answers that were aborted",
-	  AT(registry_lost_bytes) },
+	  "bytes of answers that were given up", AT(registry_lost_bytes) },
 };
 
 static void init_reads(struct stats *stats)
@@ -83,12 +80,12 @@
 		*at = metric_counter(counters[i].name, counters[i].help, NULL);
 	}
 	init_reads(stats);
-	stats->latency_us = metric_histogram(
-		"lilacfield_latency_us",
-		"time from the arrival of a request to its answer", NULL);
-	stats->backend_us = metric_histogram(
-		"lilacfield_backend_us",
-		"time from the sending of a request to its answer", NULL);
+	stats->latency_us =
+		metric_histogram("lilacfield_latency_us",
+				 "arrival of a request to its answer", NULL);
+	stats->backend_us =
+		metric_histogram("lilacfield_backend_us",
+				 "sending of a request to its answer", NULL);
 }
 
 void stats_count_read(struct stats *stats, enum read_cause cause)
--- a/packages/edge/sync_answer.c
+++ b/packages/edge/sync_answer.c
@@ -232,8 +232,7 @@
 		if (&sync->followers[i] != except &&
 		    sync->followers[i].called_us <= except->called_us &&
 		    !lane_is_receiving(&sync->followers[i].lane))
-			lane_abort(&sync->followers[i].lane,
-				   "path unreachable");
+			lane_abort(&sync->followers[i].lane, "silent path");
 }
 
 /* The path works again: repeats calls held on it. */
