--- a/packages/core/suspect_table.c
+++ b/packages/core/suspect_table.c
@@ -409,7 +409,7 @@
 
 	for (i = 0; i < update->crash_count; i++) {
 		const struct suspect_crash crash = {
-			.incarnation = update->crashes[i].life,
+			.incarnation = update->crashes[i].incarnation,
 			.at_us = time_before(now_us, update->crashes[i].age_us),
 			.ran_us = update->crashes[i].ran_us,
 		};
@@ -514,7 +514,7 @@
 	update->fingerprint = entry->fingerprint;
 	update->crash_count = entry->crash_count;
 	for (i = 0; i < entry->crash_count; i++) {
-		update->crashes[i].life = entry->crashes[i].incarnation;
+		update->crashes[i].incarnation = entry->crashes[i].incarnation;
 		update->crashes[i].age_us =
 			MIN(now_us - entry->crashes[i].at_us, SUSPECT_TTL_US);
 		update->crashes[i].ran_us = entry->crashes[i].ran_us;
--- a/packages/core/suspect_table.h
+++ b/packages/core/suspect_table.h
@@ -157,7 +157,7 @@
 struct suspect_update {
 	uint64_t fingerprint;
 	struct {
-		uint32_t life;
+		uint32_t incarnation;
 		uint64_t age_us;
 		uint64_t ran_us;
 	} crashes[SUSPECT_MAX_CRASHES];
--- a/packages/edge/heartbeat.c
+++ b/packages/edge/heartbeat.c
@@ -43,7 +43,7 @@
 	g_variant_builder_init(&crashes, G_VARIANT_TYPE("a(uuu)"));
 	for (i = 0; i < update->crash_count; i++)
 		g_variant_builder_add(
-			&crashes, "(uuu)", update->crashes[i].life,
+			&crashes, "(uuu)", update->crashes[i].incarnation,
 			(guint32)(update->crashes[i].age_us / US_PER_MS),
 			(guint32)(update->crashes[i].ran_us / US_PER_MS));
 	g_variant_builder_add(
@@ -259,7 +259,7 @@
 
 		if (at == SUSPECT_MAX_CRASHES)
 			continue;
-		update->crashes[at].life = incarnation;
+		update->crashes[at].incarnation = incarnation;
 		update->crashes[at].age_us = age_ms * US_PER_MS;
 		update->crashes[at].ran_us = ran_ms * US_PER_MS;
 	}
--- a/packages/edge/quarantine_store.c
+++ b/packages/edge/quarantine_store.c
@@ -224,7 +224,7 @@
 	uint32_t i;
 
 	for (i = 0; i < record->incarnation_count; i++) {
-		update.crashes[i].life = record->incarnations[i];
+		update.crashes[i].incarnation = record->incarnations[i];
 		update.crashes[i].age_us = i * US_PER_MS;
 	}
 	return suspect_apply_update(edge->suspects, &update,
--- a/tests/core/suspect_table_test.cc
+++ b/tests/core/suspect_table_test.cc
@@ -853,7 +853,7 @@
 			add_backend(("i-" + std::to_string(i)).c_str());
 
 		backend_answered(backend, now_us - US_PER_S);
-		update.crashes[i].life = backend->incarnation;
+		update.crashes[i].incarnation = backend->incarnation;
 		update.crashes[i].age_us = (5 + i) * US_PER_S;
 	}
 	EXPECT_TRUE(apply(update));
