--- a/packages/core/choose.c
+++ b/packages/core/choose.c
@@ -345,7 +345,7 @@
 
 	memset(choice, 0, sizeof(*choice));
 	best = pick(chooser, query, times, candidates, now_us);
-	choice->best_limited = candidates_best_rate_limited(
+	choice->best_rate_limited = candidates_best_rate_limited(
 		chooser, query, times, best ? best->cost_us : INFINITY,
 		may_leave(chooser, query, best, now_us), now_us);
 	if (best && best->hold_us > 0 && !best->trial &&
--- a/packages/core/choose.h
+++ b/packages/core/choose.h
@@ -128,7 +128,7 @@
 	uint64_t hold_us; /* CHOOSE_HOLD: choose again after this time */
 	uint64_t retry_after_us; /* if refused: when the caller should retry */
 	/* Server to be preferred if only its rate limit allowed it; or NULL. */
-	struct backend *best_limited;
+	struct backend *best_rate_limited;
 };
 
 /* Borrows all arguments: they must outlive the chooser. */
--- a/packages/edge/admin_show.c
+++ b/packages/edge/admin_show.c
@@ -292,14 +292,14 @@
 };
 
 static void add_route(struct admin_table *table, const struct route *route,
-		      const struct route_service *part)
+		      const struct route_service *route_service)
 {
 	json_t *const values[] = {
 		admin_json_text(route->name),
 		admin_json_text(route->host),
 		admin_json_text(route->prefix),
-		admin_json_text(part->service),
-		admin_json_number(part->weight),
+		admin_json_text(route_service->service),
+		admin_json_number(route_service->weight),
 		admin_json_number(route->timeout_us),
 		admin_json_number(route->target_us),
 		json_boolean(route->idempotent),
--- a/packages/edge/admin_where.c
+++ b/packages/edge/admin_where.c
@@ -25,10 +25,10 @@
 			struct route *route = routes->pdata[i];
 
 			for (j = 0; j < route->services->len; j++) {
-				const struct route_service *part =
+				const struct route_service *route_service =
 					route->services->pdata[j];
 
-				if (!strcmp(part->service, service) &&
+				if (!strcmp(route_service->service, service) &&
 				    (!found ||
 				     strcmp(route->name, found->name) < 0))
 					found = route;
--- a/packages/edge/exchange.c
+++ b/packages/edge/exchange.c
@@ -239,7 +239,7 @@
 static bool hold_for_token(struct exchange *exchange)
 {
 	const struct choice *choice = &exchange->choice;
-	struct backend *wanted = choice->best_limited;
+	struct backend *wanted = choice->best_rate_limited;
 	uint64_t now_us = exchange_now_us(exchange);
 	bool is_first = !exchange->token_holds;
 	uint64_t round_trip_us;
--- a/tests/core/choose_test.cc
+++ b/tests/core/choose_test.cc
@@ -558,13 +558,13 @@
 
 		EXPECT_EQ(nullptr, choice.backend);
 		EXPECT_EQ(CHOOSE_NO_RATE, choice.reason);
-		wanted += choice.best_limited == far;
+		wanted += choice.best_rate_limited == far;
 	}
 	EXPECT_EQ(0, wanted);
 	region_flow_init(chooser_flow("s"), 1);
-	EXPECT_EQ(far, choose().best_limited);
+	EXPECT_EQ(far, choose().best_rate_limited);
 	query.left_us = 50 * US_PER_MS;
-	EXPECT_EQ(nullptr, choose().best_limited);
+	EXPECT_EQ(nullptr, choose().best_rate_limited);
 }
 
 } // namespace
