--- a/packages/core/seat.c
+++ b/packages/core/seat.c
@@ -5,7 +5,7 @@
 
 #define FREE_VALUE "free"
 
-/* Least interval of reads while the row isn't known. */
+/* Minimum interval of reads while the row isn't known. */
 #define READ_RETRY_US (500 * 1000ull)
 
 /* Newest writes that a later read of the row may still confirm. */
--- a/packages/core/seat.h
+++ b/packages/core/seat.h
@@ -88,7 +88,7 @@
  * one read or write of the row at a time. While another node holds the row, it
  * is read about each SEAT_RENEW_US, so a node should watch few seats besides
  * its own. preferred: whether this node is the preferred one for the seat; any
- * other acquires it only once its lease has lapsed or it has stayed free.
+ * other acquires it only once its lease has expired or it has stayed free.
  */
 void seat_next_step(struct seat *seat, bool preferred, uint64_t now_us,
 		    struct seat_step *step);
--- a/packages/core/steer.c
+++ b/packages/core/steer.c
@@ -178,7 +178,7 @@
 	return false;
 }
 
-/* Where places differ, the reason that tells the caller most is returned. */
+/* Where places differ, the most informative reason is returned. */
 static int refusal_priority(enum result reason)
 {
 	switch (reason) {
--- a/packages/edge/edge_settings.h
+++ b/packages/edge/edge_settings.h
@@ -45,7 +45,7 @@
 				   */
 	uint64_t config_within_us; /* a change is in force by then */
 	struct extra_budget_rule extra;
-	uint32_t min_nodes; /* least number of nodes */
+	uint32_t min_nodes; /* minimum number of nodes */
 	uint64_t member_expiry_us; /* a node timed out for this long is removed
 				    */
 	uint64_t lookup_keep_us; /* time that callers may cache a look-up */
--- a/packages/edge/exchange.c
+++ b/packages/edge/exchange.c
@@ -174,8 +174,8 @@
 }
 
 /*
- * Whether the status tells callers that the request did not run. Only called
- * for answers without the header that proves it.
+ * Whether callers take the status to mean that the request did not run. Only
+ * called for answers without the header that proves it.
  */
 static bool is_unproved_refusal(const struct message *answer)
 {
--- a/packages/edge/sync.h
+++ b/packages/edge/sync.h
@@ -90,7 +90,7 @@
  */
 void sync_became_ready(struct sync *sync);
 
-/* A node that isn't in the members' table was heard from: read the table. */
+/* A node that isn't in the members' table sent a heartbeat: read the table. */
 void sync_read_members(struct sync *sync);
 
 /*
--- a/packages/edge/sync_answer.c
+++ b/packages/edge/sync_answer.c
@@ -132,7 +132,7 @@
  * byte arrived. Otherwise an answer that took seconds to arrive would count as
  * fresh, and routes acknowledged meanwhile would be denied for that much
  * longer. The same holds for one that waited in the socket while the process
- * stood still.
+ * was paused.
  */
 static uint64_t answer_as_of_us(const struct follower *follower)
 {
--- a/packages/edge/sync_plan.c
+++ b/packages/edge/sync_plan.c
@@ -27,7 +27,7 @@
 #define MEMBERS_CONFIRMATION_TTL_US (50 * US_PER_S)
 
 /*
- * Least time between two reads because of a mismatch: where this node has the
+ * Minimum time between two reads because of a mismatch: where this node has the
  * newer table, the peer has caught up by then. Members are less urgent, and all
  * rows change when all nodes start.
  */
