--- a/packages/edge/sync_answer.c
+++ b/packages/edge/sync_answer.c
@@ -132,7 +132,7 @@
  * byte arrived. Otherwise an answer that took seconds to arrive would count as
  * fresh, and routes acknowledged meanwhile would be denied for that much
  * longer. The same holds for one that waited in the socket while the process
- * stood still.
+ * was paused.
  */
 static uint64_t answer_as_of_us(const struct follower *follower)
 {
@@ -232,8 +232,7 @@
 		if (&sync->followers[i] != except &&
 		    sync->followers[i].called_us <= except->called_us &&
 		    !lane_is_receiving(&sync->followers[i].lane))
-			lane_abort(&sync->followers[i].lane,
-				   "path unreachable");
+			lane_abort(&sync->followers[i].lane, "silent path");
 }
 
 /* The path works again: repeats calls held on it. */
