--- a/models/at_most_once.pml
+++ b/models/at_most_once.pml
@@ -26,7 +26,7 @@
  * changes the number that hops must carry.
  *
  * Stands for. packages/core/ticket.c: ledger_start, ledger_finish,
- * ledger_fence, ledger_forget, ticket_parse; packages/node: the request, hop
+ * ledger_fence, ledger_expire, ticket_parse; packages/node: the request, hop
  * and fence handlers.
  *
  * Faults, each removing one guard:
--- a/models/deny.pml
+++ b/models/deny.pml
@@ -14,7 +14,7 @@
  * (denies). Over a path that stays whole, both have the route once there was
  * time to ask and for the answer to arrive (has).
  *
- * Stands for. packages/edge/lane.c, sync_answer.c, sync_neighbours.c and
+ * Stands for. packages/edge/lane.c, sync_answer.c, sync_peers.c and
  * sync_may_deny(), with a tick of a sixth of the time within which a change
  * must be in force.
  *
--- a/models/leave.pml
+++ b/models/leave.pml
@@ -16,7 +16,7 @@
  * that is paused, or cut off from all that know, can't learn. The bound counts
  * for it from when it has read its sources again.
  *
- * Stands for. packages/core/gate.c: gate_offer, gate_next, gate_report,
+ * Stands for. packages/core/gate.c: gate_offer, gate_next, gate_record_report,
  * gate_set_backends; packages/node: loops that read the platform's list, the
  * configuration and the servers' load.
  *
--- a/models/share.pml
+++ b/models/share.pml
@@ -18,7 +18,8 @@
  * count as little as the calls of the other one do. Not modelled: the time after
  * which a silent node is taken to be gone.
  *
- * Stands for. packages/core/share.c: share_table_change, share_table_settle;
+ * Stands for. packages/core/share.c: share_table_apply_version,
+ * share_table_settle;
  * packages/node/state_shares.c: state_change_shares, sharer_is_ready,
  * state_declared_version;
  * packages/node/view.c: view_take, view_answered.
--- a/models/shift_cap.pml
+++ b/models/shift_cap.pml
@@ -3,7 +3,7 @@
  *
  * What is modelled. One seat of a shift, that is one row with a version and a
  * holder, and two nodes that want it. The parts of the seats add up to the cap
- * (seat_part, shown by a table of cases) and a holder counts its own part
+ * (seat_quota, shown by a table of cases) and a holder counts its own part
  * exactly over any one second, so that the cap holds if no second contains
  * admissions on one seat by two holders. Time passes in ticks that any number
  * of steps may fall between or not: a node is paused for as long as one likes
@@ -31,8 +31,9 @@
  * afterwards; an admission counts when it is decided. Preference among nodes
  * and how often they read are left open: a node may act at any moment.
  *
- * Stands for. packages/core/seat.c: seat_next_step (ask_write, ask_free,
- * may_take), seat_saw_row (saw_own_value), seat_wrote (lease_from), seat_admit;
+ * Stands for. packages/core/seat.c: seat_next_step (request_write, request_free,
+ * may_acquire), seat_row_read (own_value_read), seat_row_written
+ * (extend_lease), seat_admit;
  * packages/node: the loop that reads and writes rows.
  *
  * Faults, each removing one guard:
--- a/models/word.pml
+++ b/models/word.pml
@@ -16,7 +16,7 @@
  * Assumption. The node itself reaches the platform. One that doesn't isn't
  * bound until it has asked again.
  *
- * Stands for. packages/edge/sync_plan.c, sync_neighbours.c, gossip_send.c, with a
+ * Stands for. packages/edge/sync_plan.c, sync_peers.c, gossip_send.c, with a
  * tick of a tenth of the time within which changes must be known.
  *
  * Faults, each removing one guard:
