--- a/packages/edge/admin_internal.h
+++ b/packages/edge/admin_internal.h
@@ -11,9 +11,11 @@
 #include "edge/edge.h"
 
 /*
- * Each returns the JSON answer to a kind of query, for the caller to release,
- * or NULL and sets error.
+ * These functions return a JSON answer, to be released by json_decref(). Those
+ * with an error argument return NULL and set it on failure.
  */
+
+/* "show where": where a request to the service would go now. */
 json_t *admin_show_where(const struct edge *edge, const struct query *query,
 			 GError **error);
 
--- a/packages/edge/admin_where.c
+++ b/packages/edge/admin_where.c
@@ -62,24 +62,25 @@
 
 static bool make_choose_query(const struct edge *edge,
 			      const struct query *query,
-			      struct choose_query *choice, GError **error)
+			      struct choose_query *choose_query, GError **error)
 {
-	memset(choice, 0, sizeof(*choice));
-	choice->service = route_table_service(edge->routes, query->service);
-	if (!choice->service) {
+	memset(choose_query, 0, sizeof(*choose_query));
+	choose_query->service =
+		route_table_service(edge->routes, query->service);
+	if (!choose_query->service) {
 		g_set_error(error, RESULT_ERROR, RESULT_UNKNOWN_NAME,
 			    "there is no service %s", query->service);
 		return false;
 	}
-	choice->route = route_to(edge, query->service);
-	if (!choice->route) {
+	choose_query->route = route_to(edge, query->service);
+	if (!choose_query->route) {
 		g_set_error(error, RESULT_ERROR, RESULT_CONFLICT,
 			    "no route goes to service %s", query->service);
 		return false;
 	}
-	choice->left_us = choice->route->timeout_us;
-	choice->has_object = *query->object_key != '\0';
-	choice->object = hash_text(query->object_key);
+	choose_query->left_us = choose_query->route->timeout_us;
+	choose_query->has_object = *query->object_key != '\0';
+	choose_query->object = hash_text(query->object_key);
 	return true;
 }
 
@@ -138,15 +139,15 @@
 	};
 	uint64_t now_us = edge_now_us(edge);
 	struct admin_table table;
-	struct choose_query choice;
+	struct choose_query choose_query;
 	GArray *views;
 	json_t *root;
 	guint i;
 
 	if (!check_domain(edge, query->from, error) ||
-	    !make_choose_query(edge, query, &choice, error))
+	    !make_choose_query(edge, query, &choose_query, error))
 		return NULL;
-	views = choose_explain(&edge->chooser, &choice, now_us);
+	views = choose_explain(&edge->chooser, &choose_query, now_us);
 	table = ADMIN_TABLE_NEW(columns);
 	for (i = 0; i < views->len; i++) {
 		const struct choose_view *view =
@@ -171,7 +172,7 @@
 
 		ADMIN_TABLE_ADD(&table, columns, values);
 	}
-	root = make_message(edge, &choice, best_of(views));
+	root = make_message(edge, &choose_query, best_of(views));
 	admin_table_move_into(root, &table, edge->routes->version);
 	g_array_unref(views);
 	return root;
--- a/packages/edge/backend_row.c
+++ b/packages/edge/backend_row.c
@@ -3,9 +3,10 @@
 #include "core/duration.h"
 
 /*
- * A server listed as cold is sent as cold, with at least 1 ms, even when its
- * warm-up is over: the digest includes this flag, and nodes that differ in it
- * would have different digests.
+ * Whether a server is listed as cold is part of the table's digest. So such a
+ * server is sent with at least 1 ms left, even when its warm-up is over: with 0
+ * the peer would list it as warm, and its digest would differ from this node's
+ * although no row has changed.
  */
 static uint32_t cold_left_ms(const struct backend *backend, uint64_t now_us)
 {
--- a/packages/edge/caller.c
+++ b/packages/edge/caller.c
@@ -383,7 +383,7 @@
 			    REQUEST_BODY_MAX_BYTES);
 		switch (message_reader_feed(&caller->reader, bytes, length,
 					    &used)) {
-		case MESSAGE_WHOLE:
+		case MESSAGE_COMPLETE:
 			start_request(caller);
 			break;
 		case MESSAGE_MALFORMED:
--- a/packages/edge/edge.c
+++ b/packages/edge/edge.c
@@ -106,13 +106,14 @@
 bool edge_take_extra(struct edge *edge, const char *service)
 {
 	/*
-	 * The allowance is shared by all nodes. A node that has no member list
-	 * yet, or is partitioned from it, must not use all of it alone.
+	 * The allowance is shared by all nodes. A node that knows few or no
+	 * other members, as after its start or in a partition, must not use all
+	 * of it alone.
 	 */
 	uint32_t nodes = MAX(member_table_count(edge->members),
 			     edge->settings.min_nodes);
 
 	return extra_budget_take(edge_budget(edge, service),
-				 &edge->settings.extra, nodes,
+				 &edge->settings.extra_requests, nodes,
 				 edge_now_us(edge));
 }
--- a/packages/edge/edge_settings.h
+++ b/packages/edge/edge_settings.h
@@ -30,7 +30,7 @@
 #define REQUEST_BODY_MAX_BYTES (64ull * 1024 * 1024)
 
 struct edge_settings {
-	char name[NAME_SIZE];
+	char name[NAME_SIZE]; /* of this node */
 	char domain[NAME_SIZE]; /* failure domain of this VM */
 	char region[NAME_SIZE];
 	struct endpoint front; /* for callers' requests */
@@ -44,10 +44,11 @@
 	uint64_t leave_within_us; /* after it a leaving server gets no requests
 				   */
 	uint64_t config_within_us; /* a change is in force by then */
-	struct extra_budget_rule extra;
+	struct extra_budget_rule extra_requests; /* limit of requests sent
+						    beyond the first attempt */
 	uint32_t min_nodes; /* least number of nodes */
-	uint64_t member_expiry_us; /* a node timed out for this long is removed
-				    */
+	/* A node without a heartbeat for this long is removed. */
+	uint64_t member_expiry_us;
 	uint64_t lookup_keep_us; /* time that callers may cache a look-up */
 	uint64_t max_stop_us; /* a stop ends by then, also with requests running
 			       */
--- a/packages/edge/exchange.c
+++ b/packages/edge/exchange.c
@@ -131,7 +131,7 @@
 		  "request=%s backend=%s object=%08x reason=%s "
 		  "expected_us=%.0f load=%.1f slots=%u kept=%u "
 		  "left_us=%" PRIu64,
-		  exchange->id, exchange->choice.backend->id,
+		  exchange->request_id, exchange->choice.backend->id,
 		  exchange->query.object,
 		  choose_reason_name(exchange->choice.reason),
 		  exchange->choice.expected_us,
@@ -270,7 +270,7 @@
 	if (!exchange->was_held)
 		log_event(LOG_DEBUG, "held",
 			  "request=%s object=%08x left_us=%" PRIu64,
-			  exchange->id, exchange->query.object,
+			  exchange->request_id, exchange->query.object,
 			  exchange->query.left_us);
 	exchange->was_held = true;
 	hold_for(exchange, exchange->choice.hold_us);
@@ -383,7 +383,7 @@
 	log_event(LOG_INFO, "send-failed",
 		  "request=%s backend=%s outcome=%s cause=%s sends=%u "
 		  "left_us=%" PRIu64 " again=%s",
-		  exchange->id, id, outcome_name(outcome), cause,
+		  exchange->request_id, id, outcome_name(outcome), cause,
 		  exchange->retry.sends, exchange->retry.left_us,
 		  again ? "yes" : "no");
 	exchange_drop_conn(exchange);
@@ -530,8 +530,8 @@
 	again = may_retry(exchange, SEND_FAILED);
 	log_event(LOG_INFO, "send-failed",
 		  "request=%s backend=%s outcome=failed status=%u again=%s",
-		  exchange->id, exchange->choice.backend->id, answer->status,
-		  again ? "yes" : "no");
+		  exchange->request_id, exchange->choice.backend->id,
+		  answer->status, again ? "yes" : "no");
 	release_conn(exchange, answer);
 	if (again) {
 		message_free(exchange->failed_answer);
@@ -544,7 +544,7 @@
 
 static void on_not_executed(struct exchange *exchange, struct message *answer)
 {
-	metric_add(exchange->edge->stats.shed, 1);
+	metric_add(exchange->edge->stats.not_executed, 1);
 	message_free(answer);
 	after_failure(exchange, SEND_NOT_EXECUTED, "shed");
 }
@@ -556,8 +556,9 @@
 	log_event(LOG_DEBUG, "backend-answer",
 		  "request=%s backend=%s status=%u body_bytes=%u framed=%s "
 		  "took_us=%" PRIu64,
-		  exchange->id, exchange->choice.backend->id, answer->status,
-		  answer->body->len, answer->has_length ? "yes" : "no",
+		  exchange->request_id, exchange->choice.backend->id,
+		  answer->status, answer->body->len,
+		  answer->has_length ? "yes" : "no",
 		  exchange_now_us(exchange) - exchange->sent_us);
 	/* A 421 comes from another server that has the address now. */
 	if (answer->status != 421) {
@@ -600,7 +601,7 @@
 		message_header(answer, exchange->edge->dialect->attempt_id);
 
 	if (id)
-		return !strcmp(id, exchange->id);
+		return !strcmp(id, exchange->request_id);
 	return !conn->uses && is_not_executed(exchange, answer);
 }
 
@@ -615,9 +616,9 @@
 	}
 	metric_add(exchange->edge->stats.strays, 1);
 	log_event(LOG_WARNING, "stray-answer",
-		  "request=%s backend=%s status=%u strays=%u", exchange->id,
-		  exchange->choice.backend->id, answer->status,
-		  exchange->strays + 1);
+		  "request=%s backend=%s status=%u strays=%u",
+		  exchange->request_id, exchange->choice.backend->id,
+		  answer->status, exchange->strays + 1);
 	message_free(answer);
 	if (++exchange->strays > MAX_STRAYS)
 		after_failure(exchange, SEND_BROKEN, "stray answers");
@@ -759,7 +760,8 @@
 		read_headers(exchange);
 		extra_budget_record_first(
 			edge_budget(edge, exchange->query.service->name),
-			&edge->settings.extra, exchange_now_us(exchange));
+			&edge->settings.extra_requests,
+			exchange_now_us(exchange));
 		dispatch(exchange);
 	}
 }
@@ -774,7 +776,7 @@
 	exchange->edge = edge;
 	exchange->sink = sink;
 	exchange->request = request;
-	exchange->id = id ? id : "none";
+	exchange->request_id = id ? id : "none";
 	exchange->arrived_us = edge_now_us(edge);
 	uv_timer_init(edge->loop, &exchange->timer);
 	exchange->timer.data = exchange;
--- a/packages/edge/exchange_end.c
+++ b/packages/edge/exchange_end.c
@@ -72,8 +72,8 @@
 	log_event(answer->status < 400 ? LOG_DEBUG : LOG_INFO, "answered",
 		  "request=%s status=%u took_us=%" PRIu64
 		  " sends=%u unreachable=%u",
-		  exchange->id, answer->status, took_us, exchange->retry.sends,
-		  exchange->retry.unreachable);
+		  exchange->request_id, answer->status, took_us,
+		  exchange->retry.sends, exchange->retry.unreachable);
 	exchange->sink = NULL;
 	if (sink)
 		sink->vtable->finish(sink, answer);
@@ -113,10 +113,11 @@
 	g_string_append(headers, "Content-Type: text/plain\r\n");
 	g_byte_array_append(body, (const guint8 *)cause, strlen(cause));
 	g_byte_array_append(body, (const guint8 *)"\n", 1);
-	edge_record_refusal(edge, cause, status, exchange->id);
+	edge_record_refusal(edge, cause, status, exchange->request_id);
 	log_event(LOG_INFO, "own-answer",
-		  "request=%s status=%u cause=%s unsettled=%u %s", exchange->id,
-		  status, cause, exchange->unsettled, routes_state);
+		  "request=%s status=%u cause=%s unsettled=%u %s",
+		  exchange->request_id, status, cause, exchange->unsettled,
+		  routes_state);
 	g_free(routes_state);
 	finish(exchange, &answer);
 	g_string_free(headers, TRUE);
@@ -179,7 +180,8 @@
 {
 	metric_add(exchange->edge->stats.cancelled, 1);
 	log_event(LOG_INFO, "caller-left",
-		  "request=%s after_us=%" PRIu64 " sends=%u", exchange->id,
+		  "request=%s after_us=%" PRIu64 " sends=%u",
+		  exchange->request_id,
 		  exchange_now_us(exchange) - exchange->arrived_us,
 		  exchange->retry.sends);
 	exchange->sink = NULL;
--- a/packages/edge/exchange_internal.h
+++ b/packages/edge/exchange_internal.h
@@ -14,7 +14,7 @@
 	struct message *request;
 	struct route_table *routes; /* keeps query's route and service alive */
 	struct choose_query query;
-	const char *id;
+	const char *request_id; /* from the request's headers, or "none" */
 	uint64_t fingerprint; /* 0: not computed yet */
 	uint64_t arrived_us;
 	uint64_t due_us; /* when the caller must have its answer */
@@ -35,7 +35,7 @@
 	uint64_t grace_until_us; /* end of the wait past due_us; 0: none */
 
 	struct retry_state retry;
-	uint32_t unsettled; /* sends that may have run */
+	uint32_t unsettled; /* sends after which the request may have run */
 	struct message *failed_answer; /* kept during a retry, or NULL */
 	uv_timer_t timer;
 	bool ended;
@@ -64,9 +64,10 @@
 void exchange_drop_conn(struct exchange *exchange);
 
 /*
- * Each of these answers the caller and frees the exchange. deliver: the answer
- * of a backend server. refused: 503, or 502 if a send may have run. failed: an
- * error after sending. denied: a final error, not to be retried.
+ * Each of these answers the caller and frees the exchange. exchange_deliver():
+ * the answer of a backend server. exchange_finish_refused(): 503, or 502 if the
+ * request may have run. exchange_finish_failed(): an error after sending.
+ * exchange_finish_denied(): a final error, not to be retried.
  */
 void exchange_deliver(struct exchange *exchange, const struct message *answer);
 void exchange_finish_refused(struct exchange *exchange, uint64_t retry_after_us,
--- a/packages/edge/exchange_suspect.c
+++ b/packages/edge/exchange_suspect.c
@@ -52,7 +52,10 @@
 		gossip_schedule_broadcast(exchange->edge->gossip);
 }
 
-/* Rank of this node for the request; the node of rank 0 is its prober. */
+/*
+ * Rank of this node for the request. Only the node of rank 0, its prober, may
+ * retry the request after the end of its quarantine.
+ */
 static uint32_t node_rank(const struct edge *edge, uint64_t request_hash)
 {
 	return member_table_rank(edge->members, (uint32_t)request_hash);
@@ -236,8 +239,8 @@
 		  " backend=%s cause=%s method=%s target=%s body_bytes=%u "
 		  "caller=%s ran_us=%" PRIu64
 		  " kept=%u in_flight=%u connections=%u",
-		  exchange->id, fingerprint(exchange), backend->id, cause,
-		  http_method_str(exchange->request->method),
+		  exchange->request_id, fingerprint(exchange), backend->id,
+		  cause, http_method_str(exchange->request->method),
 		  exchange->request->target->str, exchange->request->body->len,
 		  address, exchange_now_us(exchange) - exchange->sent_us,
 		  exchange->conn->uses, backend->in_flight,
--- a/packages/edge/gossip.c
+++ b/packages/edge/gossip.c
@@ -148,7 +148,10 @@
 		sync_receive_digest(gossip->sync, &heartbeat->digests[i]);
 }
 
-/* All peers listen on the same port; the datagram's source port may differ. */
+/*
+ * All peers listen on the same port; the datagram's source port may have been
+ * rewritten on the way.
+ */
 static void report_peer_address(struct gossip *gossip,
 				const struct sockaddr *from)
 {
--- a/packages/edge/gossip_updates.c
+++ b/packages/edge/gossip_updates.c
@@ -16,14 +16,15 @@
 #define RESEND_US (40 * US_PER_MS)
 
 /*
- * Suspects sent with a heartbeat; quarantines are repeated as long as they
- * last.
+ * Suspects sent with a heartbeat; quarantines are repeated until they are
+ * cleared or expire, so a few each time are enough.
  */
 #define SUSPECTS_PER_HEARTBEAT 4
 
 /*
- * Servers' rates are repeated in turn, so many with each seventh heartbeat, for
- * nodes that were partitioned when they were broadcast.
+ * Each ROUNDS_PER_RATES heartbeats, RATES_PER_HEARTBEAT servers' rates are
+ * repeated, in turn, for nodes that were partitioned when the rates were
+ * broadcast.
  */
 #define RATES_PER_HEARTBEAT 4
 #define ROUNDS_PER_RATES 7
--- a/packages/edge/lane.c
+++ b/packages/edge/lane.c
@@ -15,7 +15,10 @@
  */
 #define RECEIVE_TIMEOUT_US (1000 * US_PER_MS)
 
-/* One iteration of the loop, in which sockets are read. */
+/*
+ * Delay of a call's abort after its time-out, in which the loop reads the
+ * sockets once more.
+ */
 #define LAST_READ_MS 1
 
 struct lane_conn {
--- a/packages/edge/link.c
+++ b/packages/edge/link.c
@@ -34,7 +34,7 @@
 	while (link->awaiting && !link->closing) {
 		switch (message_reader_feed(&link->reader, bytes, length,
 					    &used)) {
-		case MESSAGE_WHOLE:
+		case MESSAGE_COMPLETE:
 			bytes += used;
 			length -= used;
 			link->extra_bytes = length > 0;
--- a/packages/edge/message.c
+++ b/packages/edge/message.c
@@ -165,7 +165,10 @@
 		 message_header(message, "Transfer-Encoding"));
 }
 
-/* RFC 9110, 6.4.1: Content-Length of these isn't the length of a body. */
+/*
+ * RFC 9110, 6.4.1: these have no body. A Content-Length in one is that of
+ * another answer's body (as a 304's is that of the 200), so none is waited for.
+ */
 static bool status_has_no_body(const http_parser *parser)
 {
 	return parser->type == HTTP_RESPONSE &&
@@ -213,7 +216,7 @@
 
 	message->keep_alive = http_should_keep_alive(parser);
 	message->until_close = reader->at_end;
-	reader->state = MESSAGE_WHOLE;
+	reader->state = MESSAGE_COMPLETE;
 	http_parser_pause(parser, 1);
 	return 0;
 }
@@ -272,7 +275,7 @@
 		offset += http_parser_execute(&reader->parser, &callbacks,
 					      bytes + offset, length - offset);
 		*used = offset;
-		if (reader->state != MESSAGE_WHOLE || !is_interim(reader))
+		if (reader->state != MESSAGE_COMPLETE || !is_interim(reader))
 			break;
 		/* 1xx answers precede the final one, which is read next. */
 		message_reader_next(reader, reader->no_body);
--- a/packages/edge/message.h
+++ b/packages/edge/message.h
@@ -41,7 +41,7 @@
 enum message_state {
 	MESSAGE_PARTIAL, /* needs more bytes */
 	MESSAGE_HEAD, /* unused: no reader reports it */
-	MESSAGE_WHOLE,
+	MESSAGE_COMPLETE,
 	MESSAGE_MALFORMED, /* not HTTP, or ambiguous length */
 	MESSAGE_HEAD_TOO_LARGE,
 	MESSAGE_BODY_TOO_LARGE,
--- a/packages/edge/quarantine_store.c
+++ b/packages/edge/quarantine_store.c
@@ -12,8 +12,9 @@
 #define CALL_TIMEOUT_US (1000 * US_PER_MS)
 
 /*
- * Limit of rows waiting for a write; more than the servers that crash in an
- * outage of the store.
+ * Limit of rows that wait for a write, and of those that this node remembers to
+ * have written; further ones aren't written, or not remembered. More than the
+ * servers that crash while the store can't be reached.
  */
 #define MAX_PENDING_ROWS 64
 
--- a/packages/edge/run.c
+++ b/packages/edge/run.c
@@ -76,7 +76,7 @@
 	struct edge_settings *current = &run->edge.settings;
 	bool moved = !same_endpoint(&current->registry, &fresh->registry);
 
-	current->extra = fresh->extra;
+	current->extra_requests = fresh->extra_requests;
 	current->min_nodes = fresh->min_nodes;
 	current->member_expiry_us = fresh->member_expiry_us;
 	current->leave_within_us = fresh->leave_within_us;
--- a/packages/edge/server_limits.c
+++ b/packages/edge/server_limits.c
@@ -200,7 +200,7 @@
 	return count;
 }
 
-/* Rates beyond max_count are sent with the next heartbeats. */
+/* Rates beyond max_count come with the next call. */
 uint32_t server_limits_heartbeat_updates(struct edge *edge,
 					 struct rate_update *updates,
 					 uint32_t max_count)
--- a/packages/edge/server_limits.h
+++ b/packages/edge/server_limits.h
@@ -29,9 +29,10 @@
 				const struct rate_update *update);
 
 /*
- * Request tokens from some of the server's quota holders. round_trip_us: to
- * these and back; if it is 0, only one is asked. Returns whether an answer is
- * due; it may get lost.
+ * Request tokens of the server's rate from nodes that hold a quota of it.
+ * round_trip_us: to these nodes and back; 0 if they are in this region: then
+ * one is asked, else several at once, as asking again costs a round trip.
+ * Returns whether an answer is due; it may get lost.
  */
 bool server_limits_borrow(struct edge *edge, struct backend *backend,
 			  uint64_t round_trip_us);
--- a/packages/edge/stats.c
+++ b/packages/edge/stats.c
@@ -30,7 +30,7 @@
 	{ "lilacfield_connects_total", "connections opened to backend servers",
 	  AT(connects) },
 	{ "lilacfield_shed_total",
-	  "answers of backend servers that say not run", AT(shed) },
+	  "answers of backend servers that say not run", AT(not_executed) },
 	{ "lilacfield_strays_total", "answers of other requests, dropped",
 	  AT(strays) },
 	{ "lilacfield_quarantined_total",
--- a/packages/edge/sync.c
+++ b/packages/edge/sync.c
@@ -17,7 +17,9 @@
 #define FIRST_ROW_JITTER_US (1500 * US_PER_MS)
 #define FIRST_MEMBERS_DELAY_US (2 * US_PER_S)
 
-/* Own row is written after this time even if the table can't be read. */
+/*
+ * Own row is written after this time even if the members' table can't be read.
+ */
 #define OWN_ROW_MAX_DELAY_US (1500 * US_PER_MS)
 
 static void follower_open(struct follower *follower, struct sync *sync,
--- a/packages/edge/sync.h
+++ b/packages/edge/sync.h
@@ -79,8 +79,9 @@
 GBytes *sync_snapshot(struct sync *sync, uint32_t tables);
 
 /*
- * A heartbeat came from that peer address. Where calls to the platform fail and
- * this node isn't loaded enough to serve, the peer is asked for a snapshot.
+ * A heartbeat came from that peer address. If calls to the platform fail and
+ * this node still lacks the routes or the backend servers, it asks the peer for
+ * a snapshot.
  */
 void sync_receive_peer_address(struct sync *sync, const struct endpoint *from);
 
--- a/packages/edge/sync_answer.c
+++ b/packages/edge/sync_answer.c
@@ -151,8 +151,8 @@
 }
 
 /*
- * The members are loaded: writes this node's row if it is missing there, and
- * lets the other tables choose a peer as their source.
+ * The members are loaded: writes this node's row if it is missing or out of
+ * date there, and lets the other tables choose a peer as their source.
  */
 static void handle_members_loaded(struct sync *sync)
 {
@@ -199,8 +199,8 @@
 		follower->page_as_of_us = answer_as_of_us(follower);
 	}
 	/*
-	 * A lagging replica sends an older state, which would restore servers
-	 * that have left: ignored, and read again.
+	 * A lagging replica sends an older state, which would restore rows
+	 * that were removed: ignored, and read again.
 	 */
 	if (rows->version < follower->version)
 		return;
--- a/packages/edge/sync_internal.h
+++ b/packages/edge/sync_internal.h
@@ -54,7 +54,7 @@
 	char *page_key; /* last key read so far; NULL: none */
 	uint64_t page_version; /* version of the first page */
 	uint64_t page_as_of_us; /* when the platform sent it */
-	GHashTable *seen; /* keys read so far in this pass */
+	GHashTable *seen; /* keys read so far in this full read */
 	/* Key -> value as the platform sent them; empty for backend servers. */
 	GHashTable *rows;
 	uint64_t called_us;
@@ -77,7 +77,8 @@
 	struct lane own_lane; /* for this node's row */
 	uv_timer_t own_timer;
 	uint32_t own_failures; /* consecutive failed writes */
-	bool own_row_current; /* the table has this node's row as it is now */
+	bool own_row_current; /* the members' table has this node's row as it is
+				 now */
 	struct lane peer_lane; /* for snapshots of peers */
 	uint32_t requested_tables; /* sum of SNAPSHOT_TABLE(); 0: no request */
 	uint32_t last_requested_tables; /* of the last request */
--- a/packages/edge/sync_peers.c
+++ b/packages/edge/sync_peers.c
@@ -329,18 +329,19 @@
 
 /*
  * Asks the region's reader, which has what its digests cover. A node that isn't
- * ready knows no reader yet; it asks one of the first readers, each node
- * starting with a different one.
+ * ready knows no reader yet; it asks one of the first readers, the few nodes of
+ * a region that read from the platform when all start at once. Nodes start with
+ * different ones.
  */
 void sync_ask_peer(struct sync *sync)
 {
 	struct edge *edge = sync->edge;
 	struct member_table *members = edge->members;
-	const struct member *first[READ_FIRST_NODES];
+	const struct member *first_readers[READ_FIRST_NODES];
 	const struct member *reader =
 		member_table_reader(members, edge_now_us(edge));
-	uint32_t count =
-		member_table_first_readers(members, first, READ_FIRST_NODES);
+	uint32_t count = member_table_first_readers(members, first_readers,
+						    READ_FIRST_NODES);
 	uint32_t turn = members->self->hash +
 			sync->followers[REGISTRY_BACKENDS].peer_attempts +
 			sync->followers[REGISTRY_CONFIG].peer_attempts;
@@ -351,7 +352,7 @@
 	if (sync->requested_from_reader)
 		request_snapshot(sync, &reader->peer);
 	else if (count)
-		request_snapshot(sync, &first[turn % count]->peer);
+		request_snapshot(sync, &first_readers[turn % count]->peer);
 }
 
 static bool some_call_fails(const struct sync *sync)
--- a/packages/ports/registry.h
+++ b/packages/ports/registry.h
@@ -56,7 +56,8 @@
 
 struct registry_rows {
 	GArray *rows; /* of struct registry_row */
-	uint64_t version; /* to follow from; the newest unless has_more */
+	uint64_t version; /* to follow changes from; the newest row's unless
+			     has_more */
 	/* More to fetch: read after the last key, follow from version. */
 	bool has_more;
 };
--- a/tests/edge/edge_settings_test.cc
+++ b/tests/edge/edge_settings_test.cc
@@ -54,8 +54,8 @@
 	EXPECT_STREQ("n1", settings.name);
 	EXPECT_EQ(80, settings.front.port);
 	EXPECT_EQ(0, settings.ready.port);
-	EXPECT_DOUBLE_EQ(0.25, settings.extra.ratio);
-	EXPECT_EQ(8000000u, settings.extra.window_us);
+	EXPECT_DOUBLE_EQ(0.25, settings.extra_requests.ratio);
+	EXPECT_EQ(8000000u, settings.extra_requests.window_us);
 	EXPECT_EQ(1000000u, settings.lookup_keep_us);
 	EXPECT_STREQ("info", settings.log_level);
 	EXPECT_STREQ("q", edge_settings_region(&settings, "e"));
--- a/tests/edge/edge_world.h
+++ b/tests/edge/edge_world.h
@@ -333,7 +333,7 @@
 		g_strlcpy(settings.region, "r1", sizeof(settings.region));
 		settings.registry = *store_stand_at(store);
 		settings.front = endpoint_at(1);
-		settings.extra = { 0.2, 50, 10000000 };
+		settings.extra_requests = { 0.2, 50, 10000000 };
 		settings.min_nodes = 1;
 		settings.link_mbps = 10;
 		settings.leave_within_us = 2500000;
--- a/tests/edge/exchange_test.cc
+++ b/tests/edge/exchange_test.cc
@@ -383,7 +383,7 @@
 	for (const char *id : { "i-1", "i-2" })
 		app_stand_set_fault(add_app(id, 1).stand, APP_FAIL);
 	start_node();
-	edge->settings.extra.allowance = 10;
+	edge->settings.extra_requests.allowance = 10;
 	for (int i = 0; i < 100; i++)
 		callers.push_back(call(get("a" + std::to_string(i), "/r/")));
 	wait_for([&] {
--- a/tests/edge/message_test.cc
+++ b/tests/edge/message_test.cc
@@ -62,7 +62,7 @@
 
 		result.state = message_reader_feed(&reader, nullptr, 0, &used);
 	}
-	if (result.state == MESSAGE_WHOLE)
+	if (result.state == MESSAGE_COMPLETE)
 		result.text = describe(reader.message);
 	message_reader_release(&reader);
 	return result;
@@ -79,18 +79,18 @@
 
 const std::vector<message_case> cases = {
 	{ "Get", HTTP_REQUEST, "GET /a?b HTTP/1.1\r\nHost: h\r\nA: 1\r\n\r\n",
-	  false, MESSAGE_WHOLE, "/a?b|0|Host: h\r\nA: 1\r\n||keep" },
+	  false, MESSAGE_COMPLETE, "/a?b|0|Host: h\r\nA: 1\r\n||keep" },
 	{ "Post", HTTP_REQUEST,
 	  "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc", false,
-	  MESSAGE_WHOLE, "/a|0|Host: h\r\n|abc|keep" },
+	  MESSAGE_COMPLETE, "/a|0|Host: h\r\n|abc|keep" },
 	{ "Chunks", HTTP_REQUEST,
 	  "POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
 	  "2\r\nab\r\n1\r\nc\r\n0\r\n\r\n",
-	  false, MESSAGE_WHOLE, "/a|0|Host: h\r\n|abc|keep" },
+	  false, MESSAGE_COMPLETE, "/a|0|Host: h\r\n|abc|keep" },
 	{ "HopHeadersGo", HTTP_REQUEST,
 	  "GET / HTTP/1.1\r\nHost: h\r\nConnection: X-One, close\r\n"
 	  "X-One: 1\r\nX-Two: 2\r\nTE: x\r\n\r\n",
-	  false, MESSAGE_WHOLE, "/|0|Host: h\r\nX-Two: 2\r\n|" },
+	  false, MESSAGE_COMPLETE, "/|0|Host: h\r\nX-Two: 2\r\n|" },
 	{ "HalfAHead", HTTP_REQUEST, "GET / HTTP/1.1\r\nHost:", false,
 	  MESSAGE_PARTIAL, "" },
 	{ "HeadTooLarge", HTTP_REQUEST,
@@ -107,9 +107,9 @@
 	  "" },
 	{ "Length", HTTP_RESPONSE,
 	  "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", false,
-	  MESSAGE_WHOLE, "|200||ab|keep" },
+	  MESSAGE_COMPLETE, "|200||ab|keep" },
 	{ "UntilClose", HTTP_RESPONSE, "HTTP/1.1 200 OK\r\nA: 1\r\n\r\nab",
-	  true, MESSAGE_WHOLE, "|200|A: 1\r\n|ab|open" },
+	  true, MESSAGE_COMPLETE, "|200|A: 1\r\n|ab|open" },
 	{ "UntilCloseOpen", HTTP_RESPONSE, "HTTP/1.1 200 OK\r\n\r\nab", false,
 	  MESSAGE_PARTIAL, "" },
 	{ "LengthCut", HTTP_RESPONSE,
@@ -120,10 +120,10 @@
 	  MESSAGE_MALFORMED, "" },
 	{ "Interim", HTTP_RESPONSE,
 	  "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n", false,
-	  MESSAGE_WHOLE, "|204|||keep" },
+	  MESSAGE_COMPLETE, "|204|||keep" },
 	{ "NotModified", HTTP_RESPONSE,
 	  "HTTP/1.1 304 Not Modified\r\nContent-Length: 9\r\n\r\n", false,
-	  MESSAGE_WHOLE, "|304|||keep" },
+	  MESSAGE_COMPLETE, "|304|||keep" },
 };
 
 TEST(MessageTest, ResultDoesNotDependOnHowBytesArrive)
@@ -160,7 +160,7 @@
 TEST(MessageTest, StopsAtItsEnd)
 {
 	for (const message_case &c : cases) {
-		if (c.state != MESSAGE_WHOLE || c.ends)
+		if (c.state != MESSAGE_COMPLETE || c.ends)
 			continue;
 		read_result result = read_in(
 			c.type, c.bytes + "GET /next HTTP/1.1\r\n", {}, false);
@@ -176,7 +176,7 @@
 			"HTTP/1.1 200 OK\r\nContent-Length: 50\r\nA: 1\r\n\r\n",
 			{}, false, true);
 
-	EXPECT_EQ(MESSAGE_WHOLE, result.state);
+	EXPECT_EQ(MESSAGE_COMPLETE, result.state);
 	EXPECT_EQ("|200|A: 1\r\n||keep", result.text);
 }
 
--- a/tests/standins/http_stand.c
+++ b/tests/standins/http_stand.c
@@ -75,7 +75,7 @@
 			conn->ahead->len, &used);
 
 		g_byte_array_remove_range(conn->ahead, 0, (guint)used);
-		if (state == MESSAGE_WHOLE)
+		if (state == MESSAGE_COMPLETE)
 			take_request(conn);
 		else if (state != MESSAGE_PARTIAL)
 			conn_close(conn, true);
