--- a/packages/edge/edge.c
+++ b/packages/edge/edge.c
@@ -107,8 +107,8 @@
 {
 	/*
 	 * The allowance is shared by all nodes. A node that knows few or no
-	 * other members, as after its start or in a partition, must not use all
-	 * of it alone.
+	 * other members, as after its start or if it can't read their table,
+	 * must not use all of it alone.
 	 */
 	uint32_t nodes = MAX(member_table_count(edge->members),
 			     edge->settings.min_nodes);
--- a/packages/edge/quarantine_store.c
+++ b/packages/edge/quarantine_store.c
@@ -12,8 +12,8 @@
 #define CALL_TIMEOUT_US (1000 * US_PER_MS)
 
 /*
- * Limit of rows that wait for a write, and of those that this node remembers to
- * have written; further ones aren't written, or not remembered. More than the
+ * Limit of rows that wait for a write, and of rows that this node remembers as
+ * its own; further ones aren't written, or not remembered. More than the
  * servers that crash while the store can't be reached.
  */
 #define MAX_PENDING_ROWS 64
