--- a/packages/edge/edge_settings.h
+++ b/packages/edge/edge_settings.h
@@ -46,7 +46,8 @@
 	uint64_t config_within_us; /* a change is in force by then */
 	struct extra_budget_rule extra_requests; /* limit of requests sent
 						    beyond the first attempt */
-	uint32_t min_nodes; /* least number of nodes */
+	/* Extra requests are shared out among at least this many nodes. */
+	uint32_t min_nodes;
 	/* A node without a heartbeat for this long is removed. */
 	uint64_t member_expiry_us;
 	uint64_t lookup_keep_us; /* time that callers may cache a look-up */
--- a/packages/edge/exchange.c
+++ b/packages/edge/exchange.c
@@ -37,7 +37,10 @@
 /* Answers to other requests that are skipped on one connection. */
 #define MAX_STRAYS 3
 
-/* Retry-After of refusals: by then a node starts or another server answers. */
+/*
+ * Retry-After of refusals: by then a starting node may be ready, or another
+ * backend server may answer.
+ */
 #define RETRY_AFTER_US (500 * US_PER_MS)
 
 /*
--- a/packages/edge/gossip_internal.h
+++ b/packages/edge/gossip_internal.h
@@ -48,8 +48,9 @@
 #define GOSSIP_ROUNDS_PER_FAR_HEARTBEAT 3
 
 /*
- * gossip_send.c: sends one heartbeat to peers of the own region, or to a few
- * members of each other region.
+ * gossip_send.c: gossip_send_near_heartbeat() sends one heartbeat to nodes of
+ * the own region, gossip_send_far_heartbeat() to a few nodes of every other
+ * region.
  */
 void gossip_send_near_heartbeat(struct gossip *gossip);
 void gossip_send_far_heartbeat(struct gossip *gossip);
--- a/packages/edge/heartbeat.h
+++ b/packages/edge/heartbeat.h
@@ -51,7 +51,10 @@
 	bool leaving;
 };
 
-/* A server that is warm for an object, or will be. */
+/*
+ * A backend server that is warm for an object, or will be: it has the object,
+ * which callers' requests name by a key, in its cache.
+ */
 struct heartbeat_pair {
 	struct warm_pair pair;
 	uint16_t ready_ms; /* time until it is warm; 0: it is */
--- a/packages/edge/lane.h
+++ b/packages/edge/lane.h
@@ -41,7 +41,11 @@
 	uint64_t max_transfer_us; /* maximum time from an answer's first byte to
 				     its last */
 	uint64_t max_body_bytes; /* limit of an answer's body */
-	bool last_read; /* the timeout expired; one last read is due */
+	/*
+	 * The timeout expired; the socket is read once more before the abort,
+	 * since the answer may already be there.
+	 */
+	bool last_read;
 	uint64_t first_byte_ms; /* uv_now() at the first byte of the latest
 				   answer */
 	uint64_t transfer_deadline_ms; /* uv_now() by which the answer must be
--- a/packages/edge/link.h
+++ b/packages/edge/link.h
@@ -51,7 +51,10 @@
 	uint64_t got_bytes; /* received of the awaited answer */
 };
 
-/* Starts to connect; failures come by ended(). 0 or a libuv error. */
+/*
+ * Starts to connect. Returns 0, or a libuv error if that fails at once; ended()
+ * isn't called then. Later failures are reported by ended().
+ */
 int link_open(struct link *link, const struct link_vtable *vtable,
 	      uv_loop_t *loop, const struct endpoint *to,
 	      const struct message_limits *limits);
--- a/packages/edge/quarantine_store.c
+++ b/packages/edge/quarantine_store.c
@@ -342,7 +342,10 @@
 
 	if (lane_is_busy(&store->lane))
 		return;
-	/* The members decide which nodes read. */
+	/*
+	 * Whether this node reads the quarantines depends on its rank in the
+	 * member table, so wait until that is loaded.
+	 */
 	if (!store->read_done && !store->members_known)
 		return;
 	if (!store->read_done &&
--- a/packages/edge/sync_answer.c
+++ b/packages/edge/sync_answer.c
@@ -342,8 +342,8 @@
 }
 
 /*
- * The changes since hold every version of a large document; the table holds
- * only the newest one.
+ * Reads the table in full after the answer with its changes was too large:
+ * changes may contain several versions of a row, the table only the newest.
  */
 static void reread_table(struct follower *follower)
 {
--- a/packages/edge/sync_internal.h
+++ b/packages/edge/sync_internal.h
@@ -40,7 +40,10 @@
 	uint32_t max_peer_attempts; /* for one mismatch */
 	bool rereads_when_behind; /* by a full read, not by all changes since */
 	void (*apply)(struct sync *sync, const struct registry_row *row);
-	/* Remove what a full read, as of that version, didn't contain. */
+	/*
+	 * Remove what isn't in seen, the keys of a full read as of the
+	 * follower's version.
+	 */
 	void (*prune)(struct sync *sync, GHashTable *seen);
 };
 
@@ -107,6 +110,7 @@
  */
 uint32_t sync_own_rank(const struct sync *sync);
 
+/* sync_plan.c: the time in microseconds, with a percentage resolved. */
 uint64_t follower_time_us(const struct follower *follower,
 			  const struct follow_time *time);
 
--- a/packages/edge/sync_peers.c
+++ b/packages/edge/sync_peers.c
@@ -193,9 +193,9 @@
 }
 
 /*
- * The peer keeps a server whose entry expired, for its expiry grace. A node
- * that has the server keeps it as well; one that has removed it doesn't add it
- * again.
+ * id is a backend server whose row at the platform has expired and which the
+ * peer still keeps, for the peer's expiry grace. If this node has the server,
+ * it keeps it too; otherwise it doesn't add it.
  */
 static void import_expired(void *context, const char *id)
 {
