--- a/packages/edge/lane.c
+++ b/packages/edge/lane.c
@@ -73,11 +73,11 @@
 {
 	struct lane *lane = timer->data;
 
-	if (lane->last_read) {
+	if (lane->reading_once_more) {
 		lane_abort(lane, "timeout");
 		return;
 	}
-	lane->last_read = true;
+	lane->reading_once_more = true;
 	uv_timer_start(timer, on_timeout, LAST_READ_MS, 0);
 }
 
@@ -96,7 +96,7 @@
 	}
 	if (now_ms >= lane->transfer_deadline_ms)
 		return;
-	lane->last_read = false;
+	lane->reading_once_more = false;
 	uv_timer_start(&lane->timer, on_timeout,
 		       MIN(RECEIVE_TIMEOUT_US / US_PER_MS,
 			   lane->transfer_deadline_ms - now_ms),
@@ -223,7 +223,7 @@
 	lane->context = context;
 	lane->got_bytes = 0;
 	lane->transfer_deadline_ms = 0;
-	lane->last_read = false;
+	lane->reading_once_more = false;
 	uv_timer_start(&lane->timer, on_timeout, timeout_us / US_PER_MS, 0);
 	if (lane->conn) {
 		lane->conn->link.reader.limits = limits;
--- a/packages/edge/lane.h
+++ b/packages/edge/lane.h
@@ -45,7 +45,7 @@
 	 * The timeout expired; the socket is read once more before the abort,
 	 * since the answer may already be there.
 	 */
-	bool last_read;
+	bool reading_once_more;
 	uint64_t first_byte_ms; /* uv_now() at the first byte of the latest
 				   answer */
 	uint64_t transfer_deadline_ms; /* uv_now() by which the answer must be
