--- a/packages/edge/crash_watch.c
+++ b/packages/edge/crash_watch.c
@@ -109,7 +109,7 @@
 	probe->watch = watch;
 	probe->began_us = edge_now_us(edge);
 	metric_add(edge->stats.connects, 1);
-	probe->conn = pool_open(&edge->pool, backend, &probe->user);
+	probe->conn = pool_connect(&edge->pool, backend, &probe->user);
 	if (probe->conn)
 		g_queue_push_tail(&watch->probes, probe);
 	else
--- a/packages/edge/exchange.c
+++ b/packages/edge/exchange.c
@@ -163,7 +163,7 @@
 		return;
 	}
 	metric_add(edge->stats.connects, 1);
-	exchange->conn = pool_open(&edge->pool, backend, &exchange->user);
+	exchange->conn = pool_connect(&edge->pool, backend, &exchange->user);
 	if (!exchange->conn) {
 		after_failure(exchange, SEND_UNREACHABLE, "connect");
 		return;
--- a/packages/edge/pool.c
+++ b/packages/edge/pool.c
@@ -147,8 +147,8 @@
 	return conn;
 }
 
-struct conn *pool_open(struct pool *pool, struct backend *backend,
-		       struct conn_user *user)
+struct conn *pool_connect(struct pool *pool, struct backend *backend,
+			  struct conn_user *user)
 {
 	struct conn *conn = g_new0(struct conn, 1);
 	int status;
--- a/packages/edge/pool.h
+++ b/packages/edge/pool.h
@@ -68,8 +68,8 @@
 		       uint64_t max_idle_us, struct conn_user *user);
 
 /* Starts to connect. Logs the cause and returns NULL if that fails at once. */
-struct conn *pool_open(struct pool *pool, struct backend *backend,
-		       struct conn_user *user);
+struct conn *pool_connect(struct pool *pool, struct backend *backend,
+			  struct conn_user *user);
 
 /* Returns a connection after its answer; it is closed if not reusable. */
 void pool_give_back(struct conn *conn, const struct message *answer);
