--- a/packages/edge/local.c
+++ b/packages/edge/local.c
@@ -144,7 +144,7 @@
 	answer->status = 200;
 	answer->headers = g_string_new(NULL);
 	answer->body = g_byte_array_new();
-	if (kind == LISTENER_READY &&
+	if (kind == LISTENER_READINESS &&
 	    path_is(request, edge->dialect->ready_path))
 		answer_ready(edge, answer);
 	else if (kind == LISTENER_LOOKUP &&
--- a/packages/edge/run.c
+++ b/packages/edge/run.c
@@ -247,8 +247,8 @@
 
 	return open_listener(run, AT_FRONT, LISTENER_FRONT, &settings->front,
 			     error) &&
-	       open_listener(run, AT_READY, LISTENER_READY, &settings->ready,
-			     error) &&
+	       open_listener(run, AT_READY, LISTENER_READINESS,
+			     &settings->ready, error) &&
 	       open_listener(run, AT_LOOKUP, LISTENER_LOOKUP, &settings->lookup,
 			     error) &&
 	       open_listener(run, AT_OPERATORS, LISTENER_OPERATORS,
--- a/tests/edge/edge_world.h
+++ b/tests/edge/edge_world.h
@@ -353,8 +353,8 @@
 		stats_init(&edge->stats);
 		ASSERT_TRUE(listener_open(&front, edge, LISTENER_FRONT, &any,
 					  &error));
-		ASSERT_TRUE(listener_open(&ready, edge, LISTENER_READY, &any,
-					  &error));
+		ASSERT_TRUE(listener_open(&ready, edge, LISTENER_READINESS,
+					  &any, &error));
 		ASSERT_TRUE(listener_open(&lookup, edge, LISTENER_LOOKUP, &any,
 					  &error));
 		ASSERT_TRUE(listener_open(&peers, edge, LISTENER_PEERS, &any,
