--- a/packages/edge/edge.c
+++ b/packages/edge/edge.c
@@ -111,7 +111,7 @@
 	 * must not use all of it alone.
 	 */
 	uint32_t nodes = MAX(member_table_count(edge->members),
-			     edge->settings.min_nodes);
+			     edge->settings.min_nodes_assumed);
 
 	return extra_budget_take(edge_budget(edge, service),
 				 &edge->settings.extra_requests, nodes,
--- a/packages/edge/edge_settings.c
+++ b/packages/edge/edge_settings.c
@@ -51,7 +51,7 @@
 	  "20" },
 	{ "extra", "window", KIND_DURATION, AT(extra_requests.window_us),
 	  "10s" },
-	{ "extra", "nodes_least", KIND_COUNT, AT(min_nodes), "1" },
+	{ "extra", "nodes_least", KIND_COUNT, AT(min_nodes_assumed), "1" },
 	{ "members", "forget", KIND_DURATION, AT(member_expiry_us), "600s" },
 	{ "lookup", "keep", KIND_DURATION, AT(lookup_keep_us), "1s" },
 	{ "stop", "most", KIND_DURATION, AT(max_stop_us), "6s" },
@@ -211,8 +211,8 @@
 		store(loader->settings, setting, setting->fallback);
 	}
 	/* Each failure domain has at least one entry VM. */
-	loader->settings->min_nodes =
-		MAX(loader->settings->min_nodes,
+	loader->settings->min_nodes_assumed =
+		MAX(loader->settings->min_nodes_assumed,
 		    g_hash_table_size(loader->settings->regions));
 	return true;
 }
--- a/packages/edge/edge_settings.h
+++ b/packages/edge/edge_settings.h
@@ -47,7 +47,7 @@
 	struct extra_budget_rule extra_requests; /* limit of requests sent
 						    beyond the first attempt */
 	/* Extra requests are shared out among at least this many nodes. */
-	uint32_t min_nodes;
+	uint32_t min_nodes_assumed;
 	/* A node without a heartbeat for this long is removed. */
 	uint64_t member_expiry_us;
 	uint64_t lookup_keep_us; /* time that callers may cache a look-up */
--- a/packages/edge/run.c
+++ b/packages/edge/run.c
@@ -77,7 +77,7 @@
 	bool moved = !same_endpoint(&current->registry, &fresh->registry);
 
 	current->extra_requests = fresh->extra_requests;
-	current->min_nodes = fresh->min_nodes;
+	current->min_nodes_assumed = fresh->min_nodes_assumed;
 	current->member_expiry_us = fresh->member_expiry_us;
 	current->leave_within_us = fresh->leave_within_us;
 	current->config_within_us = fresh->config_within_us;
--- a/tests/edge/edge_world.h
+++ b/tests/edge/edge_world.h
@@ -334,7 +334,7 @@
 		settings.registry = *store_stand_at(store);
 		settings.front = endpoint_at(1);
 		settings.extra_requests = { 0.2, 50, 10000000 };
-		settings.min_nodes = 1;
+		settings.min_nodes_assumed = 1;
 		settings.link_mbps = 10;
 		settings.leave_within_us = 2500000;
 		settings.config_within_us = 2500000;
