--- a/packages/edge/sync_answer.c
+++ b/packages/edge/sync_answer.c
@@ -30,7 +30,7 @@
 		edge_now_us(follower->sync->edge) - follower->called_us;
 	uint64_t spacing =
 		follower->loaded ?
-			follower_time_us(follower, &follower->rule->interval) :
+			follow_time_to_us(follower, &follower->rule->interval) :
 			0;
 
 	if (follower->loaded && rows->has_more) {
--- a/packages/edge/sync_internal.h
+++ b/packages/edge/sync_internal.h
@@ -111,8 +111,8 @@
 uint32_t sync_own_rank(const struct sync *sync);
 
 /* sync_plan.c: the time in microseconds, with a percentage resolved. */
-uint64_t follower_time_us(const struct follower *follower,
-			  const struct follow_time *time);
+uint64_t follow_time_to_us(const struct follower *follower,
+			   const struct follow_time *time);
 
 /* sync_plan.c: call the platform now, unless a call is in progress. */
 void follower_call(struct follower *follower);
--- a/packages/edge/sync_plan.c
+++ b/packages/edge/sync_plan.c
@@ -113,8 +113,8 @@
 		   edge->settings.config_within_us);
 }
 
-uint64_t follower_time_us(const struct follower *follower,
-			  const struct follow_time *time)
+uint64_t follow_time_to_us(const struct follower *follower,
+			   const struct follow_time *time)
 {
 	if (!time->percent)
 		return time->us;
@@ -149,7 +149,7 @@
 {
 	uint64_t until_us =
 		follower->confirmed_us +
-		follower_time_us(follower, &follower->rule->confirmation_ttl);
+		follow_time_to_us(follower, &follower->rule->confirmation_ttl);
 
 	return until_us <= edge_now_us(follower->sync->edge);
 }
@@ -177,7 +177,7 @@
 	state->started_us = sync->started_us;
 	state->confirmed_us = follower->confirmed_us;
 	state->confirmation_ttl_us =
-		follower_time_us(follower, &follower->rule->confirmation_ttl);
+		follow_time_to_us(follower, &follower->rule->confirmation_ttl);
 	state->version_differs = follower_has_mismatch(follower);
 	state->other_table_fails =
 		follower->rule->table != REGISTRY_BACKENDS &&
@@ -229,7 +229,7 @@
 		return 0;
 	if (!reads_for_region(follower->sync))
 		return 0;
-	return follower_time_us(follower, &follower->rule->hold);
+	return follow_time_to_us(follower, &follower->rule->hold);
 }
 
 static uint64_t base64_bytes(uint64_t bytes)
