--- a/packages/core/admin.c
+++ b/packages/core/admin.c
@@ -5,14 +5,13 @@
 
 #include "core/admin_json.h"
 
-/* Room for the other members around the largest document. */
-
 static bool bad_request(GError **error, const char *message)
 {
 	g_set_error_literal(error, RESULT_ERROR, RESULT_BAD_REQUEST, message);
 	return false;
 }
 
+/* Copy a JSON string; false if it is none or doesn't fit size. */
 static bool read_text(const json_t *value, char *text, size_t size)
 {
 	const char *string = json_string_value(value);
@@ -34,8 +33,8 @@
 		       bad_request(error, "id: must be 1 to 127 of "
 					  "A-Z a-z 0-9 . _ -");
 	if (!strcmp(member, "expect")) {
-		request->has_expect = true;
-		request->expect = (uint64_t)json_integer_value(value);
+		request->has_expected_version = true;
+		request->expected_version = (uint64_t)json_integer_value(value);
 		return (json_is_integer(value) &&
 			json_integer_value(value) >= 0) ||
 		       bad_request(error, "expect: must be a version");
@@ -72,7 +71,7 @@
 {
 	json_error_t json_error;
 	json_t *root;
-	bool good;
+	bool ok;
 
 	memset(request, 0, sizeof(*request));
 	if (len > ADMIN_REQUEST_MAX_BYTES)
@@ -85,11 +84,11 @@
 			    json_error.text);
 		return false;
 	}
-	good = read_members(request, root, error);
+	ok = read_members(request, root, error);
 	json_decref(root);
-	if (!good)
+	if (!ok)
 		admin_request_release(request);
-	return good;
+	return ok;
 }
 
 void admin_request_release(struct admin_request *request)
@@ -98,7 +97,7 @@
 	request->document = NULL;
 }
 
-static json_t *load_document(const char *text, GError **error)
+static json_t *parse_document(const char *text, GError **error)
 {
 	json_error_t json_error;
 	json_t *document;
@@ -117,7 +116,7 @@
 	json_t *root;
 
 	if (request->document) {
-		document = load_document(request->document, error);
+		document = parse_document(request->document, error);
 		if (!document)
 			return NULL;
 	}
@@ -126,31 +125,32 @@
 			    admin_json_text(request->sentence));
 	if (*request->id)
 		json_object_set_new(root, "id", admin_json_text(request->id));
-	if (request->has_expect)
-		json_object_set_new(root, "expect",
-				    admin_json_number(request->expect));
+	if (request->has_expected_version)
+		json_object_set_new(
+			root, "expect",
+			admin_json_number(request->expected_version));
 	if (document)
 		json_object_set_new(root, "document", document);
-	return admin_json_take_text(root);
+	return admin_json_to_text(root);
 }
 
 char *admin_answer_error(enum result code, const char *message,
 			 uint64_t retry_after_us)
 {
-	json_t *root = admin_json_new(code, message);
+	json_t *root = admin_json_new_answer(code, message);
 
 	if (retry_after_us)
 		json_object_set_new(root, "retry_after_us",
 				    admin_json_number(retry_after_us));
-	return admin_json_take_text(root);
+	return admin_json_to_text(root);
 }
 
 char *admin_answer_command(uint64_t version, const char *command_id,
 			   const char *message)
 {
-	json_t *root = admin_json_new(RESULT_OK, message);
+	json_t *root = admin_json_new_answer(RESULT_OK, message);
 
 	json_object_set_new(root, "id", admin_json_text(command_id));
 	json_object_set_new(root, "version", admin_json_number(version));
-	return admin_json_take_text(root);
+	return admin_json_to_text(root);
 }
--- a/packages/core/candidate.c
+++ b/packages/core/candidate.c
@@ -6,56 +6,57 @@
 #include "core/duration.h"
 #include "core/hash.h"
 
-/* A cold server's work takes about twice as long. */
+/* Factor on the service time of a server that is still warming up. */
 #define COLD_SLOWNESS 2.0
 
 /*
- * Part of a service time that a place further down the rendezvous order costs:
- * objects then have few owners, whose caches hold them.
+ * Cost of each place further down the rendezvous order, in warm service times.
+ * It keeps each object on few servers, whose caches then hold it.
  */
 #define RANK_COST 0.4
 
 /*
- * Cost of a server in another region beside its link, in warm service times:
- * the bytes on the links are paid for, and its slots are another region's.
+ * Cost of a server in another region in addition to the round trip, in warm
+ * service times: traffic between regions costs money, and its slots are meant
+ * for its own region.
  */
 #define FAR_COST 1.0
 
-/* Cost of a server's load, at as many as its slots, in warm service times. */
+/* Cost of a load equal to the server's slots, in warm service times. */
 #define LOAD_COST 0.1
 
-/* Requests over its slots that a server may hold, as a part of the slots. */
-#define QUEUE_PART 1.0
+/* Requests that a server may queue, as a fraction of its slots. */
+#define QUEUE_FRACTION 1.0
 
 /*
- * Load, as a part of its slots, up to which a server may do cold what another
- * has warm. A cold run holds a slot several times as long: where slots are
- * short, sending an object elsewhere because its own server is busy takes more
- * from the others than it gives. Well below all slots, since loads are known
- * late and too low.
+ * Load, as a fraction of its slots, up to which a server may run a request cold
+ * that another server has warm. A cold run holds a slot several times as long:
+ * when slots are scarce, moving an object off its busy server costs the others
+ * more than it saves. Well below 1, since load estimates are late and too low.
  */
-#define SPARE_PART 0.4
+#define SPARE_FRACTION 0.4
 
 /*
- * How much longer a cold run takes, in warm ones, for it to be worth a wait
- * while all slots of the server that runs the object's first one are taken.
+ * Extra time of a cold run, in warm service times, from which it is worth
+ * holding a request until the object's first run has warmed a server whose
+ * slots are all taken.
  */
 #define HOLD_GAIN 0.5
 
-/* Nodes that send to a cold server, so that its allowance isn't crumbs. */
-#define COLD_OWNERS 2
+/* Nodes that share a cold server's allowance; more would get tiny shares. */
+#define COLD_SENDERS 2
 
-/* A failed request costs a further try: warm times at certain failure. */
+/* Cost of a retry at a failure rate of 1, in warm service times. */
 #define FAILURE_COST 4.0
 
 /*
- * Cost of a server where a request is at work that may crash it, in warm
- * service times: whatever is there beside it ends, too.
+ * Cost of a server that runs a request suspected of crashing servers, in warm
+ * service times: a crash ends all other requests there.
  */
 #define SUSPECT_COST 4.0
 
-/* The same for such a request, for each one that is there. */
-#define COMPANY_COST 1.0
+/* Cost of each request at a server for a suspect that needs isolation. */
+#define COLOCATION_COST 1.0
 
 static bool region_allowed(const struct route *route, const char *region)
 {
@@ -79,31 +80,32 @@
 }
 
 /*
- * A cold server that gets more than it bears crashes. Its allowance is split
- * between the few nodes that come first in its rendezvous order of all known
- * members, also of dead ones: a node that is cut off then doesn't take itself
- * for the only one.
+ * Whether this node may still send to the server if it is cold. A cold server
+ * crashes under too many requests, so its allowance is split between the first
+ * COLD_SENDERS nodes in its rendezvous order of all known members. Dead ones
+ * count too, so that a partitioned node doesn't use the whole allowance.
  */
 static bool cold_allows(const struct chooser *chooser,
 			const struct service *service,
 			const struct backend *backend, uint64_t now_us)
 {
-	uint32_t most = (uint32_t)fmax(1.0, service->cold_per_s / COLD_OWNERS);
+	uint32_t max_per_s =
+		(uint32_t)fmax(1.0, service->cold_per_s / COLD_SENDERS);
 
 	if (backend->cold_until_us <= now_us)
 		return true;
-	if (member_table_rank(chooser->members, backend->hash) >= COLD_OWNERS)
+	if (member_table_rank(chooser->members, backend->hash) >= COLD_SENDERS)
 		return false;
-	return backend_cold_sends(backend, now_us) < most;
+	return backend_cold_sends(backend, now_us) < max_per_s;
 }
 
 static bool has_suspect(const struct chooser *chooser,
-			const struct backend *backend, bool apart_only,
+			const struct backend *backend, bool isolated_only,
 			uint64_t now_us)
 {
 	return chooser->suspects &&
-	       suspect_runs_on(chooser->suspects, backend->life, apart_only,
-			       now_us);
+	       suspect_runs_on(chooser->suspects, backend->incarnation,
+			       isolated_only, now_us);
 }
 
 enum choose_block candidate_blocked(const struct chooser *chooser,
@@ -123,7 +125,7 @@
 		return CHOOSE_FORBIDDEN;
 	if (!cold_allows(chooser, query->service, backend, now_us))
 		return CHOOSE_COLD;
-	if (query->apart != CHOOSE_TOGETHER &&
+	if (query->isolation != CHOOSE_ISOLATE_NONE &&
 	    has_suspect(chooser, backend, false, now_us))
 		return CHOOSE_SUSPECT;
 	if (!rate_limit_allows(&backend->limit, now_us))
@@ -131,19 +133,19 @@
 	return CHOOSE_OPEN;
 }
 
-/* Rendezvous score, weighted by slots; the larger one comes first. */
+/* Rendezvous score, weighted by slots; a larger score ranks first. */
 static double rendezvous(const struct backend *backend, uint32_t object)
 {
-	double part = ((double)hash_pair(backend->hash, object) + 1.0) /
-		      18446744073709551617.0;
+	double uniform = ((double)hash_pair(backend->hash, object) + 1.0) /
+			 18446744073709551617.0;
 
-	return -(double)backend->slots / log(part);
+	return -(double)backend->slots / log(uniform);
 }
 
 /*
- * How long to hold the request for a server that runs a first one for the same
- * object; 0: not at all. Sent now, it would run cold as well as soon as it has
- * a slot. That is left to it where a slot is free: nobody waits for it, and it
+ * How long to hold the request for a server that is running the object's first
+ * request; 0: don't. Sent at once it would run cold, too, when it gets a slot.
+ * Not called where a slot is free: then a cold run delays no other request and
  * is answered sooner.
  */
 static double hold_us(const struct chooser *chooser,
@@ -159,16 +161,16 @@
 }
 
 /*
- * There and back, and once more where a connection has to be opened. Left out,
- * another region seemed as near as it is over a kept connection, and requests
- * that left their region took a fifth of a second to arrive.
+ * Network time: one round trip, and another one where no connection is idle and
+ * one has to be opened. Without the latter, requests to another region were
+ * taken to be as fast as over an open connection, but took 200 ms to arrive.
  */
-static double way_us(const struct chooser *chooser,
-		     const struct backend *backend)
+static double round_trip_us(const struct chooser *chooser,
+			    const struct backend *backend)
 {
 	double link_us = (double)chooser_link_us(chooser, backend->region);
 
-	return backend->kept ? link_us : 2 * link_us;
+	return backend->idle_connections ? link_us : 2 * link_us;
 }
 
 static void estimate(const struct chooser *chooser,
@@ -177,7 +179,7 @@
 		     struct candidate *candidate)
 {
 	struct backend *backend = candidate->backend;
-	struct warm_pair pair = { backend->life, query->object };
+	struct warm_pair pair = { backend->incarnation, query->object };
 	double load = backend_load(backend, now_us);
 	double slots = backend->slots;
 	double queued_us = backend_mean_work_us(backend);
@@ -187,9 +189,9 @@
 	candidate->near = !strcmp(backend->region, chooser->region);
 	candidate->warm = !query->has_object ||
 			  warmth_has(chooser->warmth, pair);
-	candidate->full = load >= slots + fmax(1.0, QUEUE_PART * slots);
-	candidate->spare = load < SPARE_PART * slots;
-	if (!(chooser->off & CHOOSE_HOLD_REQUESTS) && !candidate->warm &&
+	candidate->full = load >= slots + fmax(1.0, QUEUE_FRACTION * slots);
+	candidate->spare = load < SPARE_FRACTION * slots;
+	if (!(chooser->disabled & CHOOSE_HOLD_REQUESTS) && !candidate->warm &&
 	    load >= slots)
 		candidate->hold_us = hold_us(chooser, times, pair, now_us);
 	work_us = (candidate->warm || candidate->hold_us > 0 ? times->warm_us :
@@ -202,7 +204,7 @@
 			  fmax(queued_us, times->warm_us * backend->slowness);
 	candidate->work_us = work_us;
 	candidate->wait_us = wait_us;
-	candidate->expected_us = way_us(chooser, backend) + work_us +
+	candidate->expected_us = round_trip_us(chooser, backend) + work_us +
 				 fmax(wait_us, candidate->hold_us);
 	candidate->cost_us = candidate->expected_us +
 			     LOAD_COST * times->warm_us * load / slots +
@@ -211,8 +213,8 @@
 		candidate->cost_us += FAR_COST * times->warm_us;
 	if (has_suspect(chooser, backend, true, now_us))
 		candidate->cost_us += SUSPECT_COST * times->warm_us;
-	if (query->apart == CHOOSE_APART_ONLY)
-		candidate->cost_us += COMPANY_COST * times->warm_us * load;
+	if (query->isolation == CHOOSE_ISOLATE_REQUIRED)
+		candidate->cost_us += COLOCATION_COST * times->warm_us * load;
 }
 
 static gint compare_scores(gconstpointer a, gconstpointer b)
@@ -227,8 +229,8 @@
 			   const struct choose_query *query,
 			   const struct service_times *times, uint64_t now_us)
 {
-	const GPtrArray *backends =
-		backend_table_of(chooser->backends, query->service->name);
+	const GPtrArray *backends = backend_table_by_service(
+		chooser->backends, query->service->name);
 	GArray *candidates = g_array_new(FALSE, TRUE, sizeof(struct candidate));
 	guint i;
 
@@ -249,7 +251,7 @@
 	return candidates;
 }
 
-bool candidates_keep_warm(const GArray *candidates,
+bool candidates_have_warm(const GArray *candidates,
 			  const struct service_times *times)
 {
 	guint i;
@@ -265,48 +267,50 @@
 	return false;
 }
 
-static bool only_rate_is_short(const struct chooser *chooser,
-			       const struct choose_query *query,
-			       const struct backend *backend, uint64_t now_us)
+static bool is_blocked_only_by_rate(const struct chooser *chooser,
+				    const struct choose_query *query,
+				    const struct backend *backend,
+				    uint64_t now_us)
 {
 	return rate_limit_is_limited(&backend->limit, now_us) &&
 	       candidate_blocked(chooser, query, backend, now_us) ==
 		       CHOOSE_LIMITED;
 }
 
-/* Those that lend tokens are near the server. */
-static void add_token_way(const struct chooser *chooser,
-			  struct candidate *candidate)
+/* A token must be borrowed first, from a node near the server. */
+static void add_token_round_trip(const struct chooser *chooser,
+				 struct candidate *candidate)
 {
-	double way_us;
+	double round_trip_us;
 
 	if (candidate->near)
 		return;
-	way_us = (double)chooser_link_us(chooser, candidate->backend->region);
-	candidate->expected_us += way_us;
-	candidate->cost_us += way_us;
+	round_trip_us =
+		(double)chooser_link_us(chooser, candidate->backend->region);
+	candidate->expected_us += round_trip_us;
+	candidate->cost_us += round_trip_us;
 }
 
-struct backend *candidates_wanted(const struct chooser *chooser,
-				  const struct choose_query *query,
-				  const struct service_times *times,
-				  double cost_us, bool may_leave,
-				  uint64_t now_us)
+struct backend *candidates_best_rate_limited(const struct chooser *chooser,
+					     const struct choose_query *query,
+					     const struct service_times *times,
+					     double cost_us, bool may_leave,
+					     uint64_t now_us)
 {
-	const GPtrArray *backends =
-		backend_table_of(chooser->backends, query->service->name);
+	const GPtrArray *backends = backend_table_by_service(
+		chooser->backends, query->service->name);
 	struct backend *wanted = NULL;
 	guint i;
 
 	for (i = 0; backends && i < backends->len; i++) {
 		struct candidate candidate = { .backend = backends->pdata[i] };
 
-		if (!only_rate_is_short(chooser, query, candidate.backend,
-					now_us) ||
+		if (!is_blocked_only_by_rate(chooser, query, candidate.backend,
+					     now_us) ||
 		    now_us < candidate.backend->limit.ask_again_us)
 			continue;
 		estimate(chooser, query, times, now_us, &candidate);
-		add_token_way(chooser, &candidate);
+		add_token_round_trip(chooser, &candidate);
 		if (candidate.full || candidate.cost_us >= cost_us ||
 		    (!candidate.near && !may_leave) ||
 		    candidate.expected_us >= (double)query->left_us)
--- a/packages/core/choose.c
+++ b/packages/core/choose.c
@@ -8,42 +8,46 @@
 #include "core/duration.h"
 
 /*
- * Answers of a service before its times are a reason to refuse. Few, since
- * until then the queues of a start grow past the objective; one or two say
- * little.
+ * Answers of a service before its average times may be a reason to refuse. One
+ * or two are too few to trust; many would let queues grow past the objective
+ * when the service starts.
  */
-#define TRUST_SAMPLES 5
+#define MIN_SAMPLES 5
 
-/* Part of requests that may warm one more server for their object. */
-#define TRIAL_PART 0.005
+/* Fraction of requests that may warm one more server for their object. */
+#define TRIAL_FRACTION 0.005
 
 /*
- * Nodes of a region that give a server that joined its first request. Were it
- * each node, dozens of nodes and of such servers would make a large part of all
- * requests first ones, most of them late. One node that dies is followed by the
- * next as soon as its silence is noticed.
+ * Nodes of a region that send a new server its first request. If all nodes did,
+ * dozens of nodes times dozens of new servers would make a large share of all
+ * requests cold ones, most of them late. If the node dies, the next in order
+ * takes over after the member timeout.
  */
 #define NEWCOMER_SENDERS 1
 
-/* For so long a server counts as one that joined. */
+/* How long a server counts as new. */
 #define NEWCOMER_US (10 * US_PER_S)
 
-/* How long after the loss of a server requests may leave the region freely. */
+/* How long after a loss requests may leave the region without limit. */
 #define FREE_AFTER_LOSS_US (5 * US_PER_S)
 
-/* When to come back to a service that has no server yet. */
+/* Retry time for a service without any usable server (CHOOSE_NONE_USABLE). */
 #define RETRY_UNKNOWN_US (1 * US_PER_S)
 
-static bool keeps_warm(const struct chooser *chooser, const GArray *candidates,
-		       const struct service_times *times)
+static bool avoids_cold_runs(const struct chooser *chooser,
+			     const GArray *candidates,
+			     const struct service_times *times)
 {
-	return !(chooser->off & CHOOSE_KEEP_WARM) &&
-	       candidates_keep_warm(candidates, times);
+	return !(chooser->disabled & CHOOSE_KEEP_WARM) &&
+	       candidates_have_warm(candidates, times);
 }
 
-/* The cheapest in this region or out of it; see candidates_keep_warm(). */
-static const struct candidate *least(const GArray *candidates, bool near,
-				     bool kept_warm)
+/*
+ * The cheapest server in this region or outside it. With avoid_cold, servers
+ * that would run the request cold count only if they have spare slots.
+ */
+static const struct candidate *find_cheapest(const GArray *candidates,
+					     bool near, bool avoid_cold)
 {
 	const struct candidate *best = NULL;
 	guint i;
@@ -54,7 +58,7 @@
 
 		if (candidate->near != near || candidate->full)
 			continue;
-		if (kept_warm && !candidate->warm && !candidate->spare &&
+		if (avoid_cold && !candidate->warm && !candidate->spare &&
 		    candidate->hold_us <= 0)
 			continue;
 		if (!best || candidate->cost_us < best->cost_us)
@@ -66,15 +70,16 @@
 static bool is_newcomer(const struct chooser *chooser,
 			const struct backend *backend, uint64_t now_us)
 {
-	return backend->joined_us && !backend->served &&
+	return backend->joined_us && !backend->sends &&
 	       now_us - backend->joined_us < NEWCOMER_US &&
 	       member_table_near_rank(chooser->members, backend->hash, now_us) <
 		       NEWCOMER_SENDERS;
 }
 
-/* A server of this region that joined and is this node's to begin with. */
-static struct candidate *newcomer(const struct chooser *chooser,
-				  const GArray *candidates, uint64_t now_us)
+/* A new server of this region to which this node sends the first request. */
+static struct candidate *find_newcomer(const struct chooser *chooser,
+				       const GArray *candidates,
+				       uint64_t now_us)
 {
 	guint i;
 
@@ -90,10 +95,11 @@
 }
 
 /*
- * A server of this region that isn't warm for the object while another is, and
- * has room: without trials a server that joins would never be chosen.
+ * A server of this region that isn't warm for the object, whose queue isn't
+ * full and where this node's own requests take less than half of the slots.
+ * Without trials a new server would never be chosen while another is warm.
  */
-static struct candidate *unwarmed(const GArray *candidates)
+static struct candidate *find_unwarmed(const GArray *candidates)
 {
 	guint i;
 
@@ -109,16 +115,21 @@
 	return NULL;
 }
 
+/*
+ * Replaces the best server by one to be warmed, if there is one: a new server
+ * always, another one for a fraction of requests.
+ */
 static const struct candidate *trial(struct chooser *chooser,
 				     const GArray *candidates,
 				     const struct candidate *best,
 				     uint64_t now_us)
 {
-	struct candidate *tried = newcomer(chooser, candidates, now_us);
+	struct candidate *tried = find_newcomer(chooser, candidates, now_us);
 
-	chooser->trial_credit = fmin(1.0, chooser->trial_credit + TRIAL_PART);
+	chooser->trial_credit =
+		fmin(1.0, chooser->trial_credit + TRIAL_FRACTION);
 	if (!tried && chooser->trial_credit >= 1.0 && best->warm) {
-		tried = unwarmed(candidates);
+		tried = find_unwarmed(candidates);
 		if (tried)
 			chooser->trial_credit = 0;
 	}
@@ -129,14 +140,14 @@
 }
 
 /*
- * Before anything is known of the demand, each region's is taken for the same:
- * what exceeds this region's part of the slots leaves it from the start. A
- * share that began at none would need ten seconds to get there in its steps.
+ * Initial share of requests that leave the region. It assumes equal demand in
+ * all regions, so that what exceeds this region's slots leaves from the start.
+ * Starting from 0, the share would take 10 s to get there in bounded steps.
  */
-static double first_share(const struct chooser *chooser, const char *service)
+static double initial_share(const struct chooser *chooser, const char *service)
 {
 	const GPtrArray *backends =
-		backend_table_of(chooser->backends, service);
+		backend_table_by_service(chooser->backends, service);
 	GHashTable *regions = g_hash_table_new(g_str_hash, g_str_equal);
 	double near = 0;
 	double all = 0;
@@ -162,15 +173,15 @@
 
 	if (!flow) {
 		flow = g_new0(struct region_flow, 1);
-		region_flow_init(flow, first_share(chooser, service));
+		region_flow_init(flow, initial_share(chooser, service));
 		g_hash_table_insert(chooser->flows, g_strdup(service), flow);
 	}
 	return flow;
 }
 
-static bool region_is_disturbed(const struct chooser *chooser, uint64_t now_us)
+static bool lost_server_lately(const struct chooser *chooser, uint64_t now_us)
 {
-	uint64_t lost_us = chooser->backends->disturbed_us;
+	uint64_t lost_us = chooser->backends->last_loss_us;
 
 	return lost_us && now_us - lost_us < FREE_AFTER_LOSS_US;
 }
@@ -183,9 +194,9 @@
 	return (struct region_flow_request){
 		.prefers_to_leave = prefers_to_leave,
 		.has_object = query->has_object &&
-			      !(chooser->off & CHOOSE_LEAVE_BY_OBJECT),
+			      !(chooser->disabled & CHOOSE_LEAVE_BY_OBJECT),
 		.object = query->object,
-		.free = region_is_disturbed(chooser, now_us),
+		.skip_limits = lost_server_lately(chooser, now_us),
 	};
 }
 
@@ -194,9 +205,11 @@
 				    const struct service_times *times,
 				    const GArray *candidates, uint64_t now_us)
 {
-	bool kept_warm = keeps_warm(chooser, candidates, times);
-	const struct candidate *near = least(candidates, true, kept_warm);
-	const struct candidate *far = least(candidates, false, kept_warm);
+	bool avoid_cold = avoids_cold_runs(chooser, candidates, times);
+	const struct candidate *near =
+		find_cheapest(candidates, true, avoid_cold);
+	const struct candidate *far =
+		find_cheapest(candidates, false, avoid_cold);
 	struct region_flow *flow = flow_of(chooser, query->service->name);
 	const struct region_flow_request request = flow_request(
 		chooser, query, far && (!near || far->cost_us < near->cost_us),
@@ -212,8 +225,9 @@
 }
 
 /*
- * Whether a request that no server takes now, or one of another region, would
- * be let go there.
+ * Whether the request may go to another region for a server that is now out of
+ * tokens. True if the best server is in another region; if there is none, as
+ * region_flow decides.
  */
 static bool may_leave(struct chooser *chooser, const struct choose_query *query,
 		      const struct candidate *best, uint64_t now_us)
@@ -234,9 +248,9 @@
 	return candidate->warm ? CHOOSE_WARM : CHOOSE_RANK;
 }
 
-static bool is_taken(const struct chooser *chooser,
-		     const struct choose_query *query,
-		     const struct candidate *best)
+static bool is_admitted(const struct chooser *chooser,
+			const struct choose_query *query,
+			const struct candidate *best)
 {
 	const struct admission_request request = {
 		.expected_us = best->expected_us,
@@ -247,17 +261,18 @@
 	};
 	enum admission_verdict verdict = admission_decide(&request);
 
-	if (chooser->off & CHOOSE_ADMIT)
+	if (chooser->disabled & CHOOSE_ADMIT)
 		return verdict != ADMISSION_TOO_LATE;
-	return verdict == ADMISSION_TAKE;
+	return verdict == ADMISSION_ACCEPT;
 }
 
-/* What servers that would be used but for their rates take a second. */
-static double short_rate(const struct chooser *chooser,
-			 const struct choose_query *query, uint64_t now_us)
+/* Sum of the rates of servers that only their rate limit excludes, per s. */
+static double blocked_rate_per_s(const struct chooser *chooser,
+				 const struct choose_query *query,
+				 uint64_t now_us)
 {
-	const GPtrArray *backends =
-		backend_table_of(chooser->backends, query->service->name);
+	const GPtrArray *backends = backend_table_by_service(
+		chooser->backends, query->service->name);
 	double per_s = 0;
 	guint i;
 
@@ -266,41 +281,43 @@
 
 		if (candidate_blocked(chooser, query, backend, now_us) ==
 		    CHOOSE_LIMITED)
-			per_s += rate_limit_in_force(&backend->limit, now_us);
+			per_s += rate_limit_effective(&backend->limit, now_us);
 	}
 	return per_s;
 }
 
-static struct admission_returns *returns_of(struct chooser *chooser,
-					    const char *service)
+static struct admission_retry_schedule *returns_of(struct chooser *chooser,
+						   const char *service)
 {
-	struct admission_returns *returns =
+	struct admission_retry_schedule *returns =
 		g_hash_table_lookup(chooser->returns, service);
 
 	if (!returns) {
-		returns = g_new0(struct admission_returns, 1);
+		returns = g_new0(struct admission_retry_schedule, 1);
 		g_hash_table_insert(chooser->returns, g_strdup(service),
 				    returns);
 	}
 	return returns;
 }
 
-/* Each node gives out its part of the rate to those who come back. */
-static uint64_t return_us(struct chooser *chooser,
-			  const struct choose_query *query, double per_s,
-			  uint64_t now_us)
+/* Retry time by rate limit; each node hands out an equal share of the rate. */
+static uint64_t rate_retry_after_us(struct chooser *chooser,
+				    const struct choose_query *query,
+				    double per_s, uint64_t now_us)
 {
 	uint32_t nodes = member_table_count(chooser->members);
 
-	return admission_return_us(returns_of(chooser, query->service->name),
-				   per_s / MAX(nodes, 1), query->patience_us,
-				   g_random_double(), now_us);
+	return admission_schedule_retry_us(
+		returns_of(chooser, query->service->name),
+		per_s / MAX(nodes, 1), query->patience_us, g_random_double(),
+		now_us);
 }
 
 static void refuse(struct chooser *chooser, const struct choose_query *query,
 		   bool has_candidates, uint64_t now_us, struct choice *choice)
 {
-	double per_s = has_candidates ? 0 : short_rate(chooser, query, now_us);
+	double per_s =
+		has_candidates ? 0 : blocked_rate_per_s(chooser, query, now_us);
 
 	if (has_candidates) {
 		choice->reason = CHOOSE_NONE_FREE;
@@ -309,9 +326,9 @@
 	} else if (per_s > 0) {
 		choice->reason = CHOOSE_NO_RATE;
 		choice->retry_after_us =
-			return_us(chooser, query, per_s, now_us);
+			rate_retry_after_us(chooser, query, per_s, now_us);
 	} else {
-		choice->reason = CHOOSE_NONE_KNOWN;
+		choice->reason = CHOOSE_NONE_USABLE;
 		choice->retry_after_us = RETRY_UNKNOWN_US;
 	}
 }
@@ -328,7 +345,7 @@
 
 	memset(choice, 0, sizeof(*choice));
 	best = pick(chooser, query, times, candidates, now_us);
-	choice->wanted = candidates_wanted(
+	choice->best_rate_limited = candidates_best_rate_limited(
 		chooser, query, times, best ? best->cost_us : INFINITY,
 		may_leave(chooser, query, best, now_us), now_us);
 	if (best && best->hold_us > 0 && !best->trial &&
@@ -336,8 +353,8 @@
 		choice->reason = CHOOSE_HOLD;
 		choice->hold_us =
 			(uint64_t)fmin(best->hold_us, CANDIDATE_HOLD_STEP_US);
-	} else if (best && (times->samples < TRUST_SAMPLES ||
-			    is_taken(chooser, query, best))) {
+	} else if (best && (times->samples < MIN_SAMPLES ||
+			    is_admitted(chooser, query, best))) {
 		choice->backend = best->backend;
 		choice->expected_us = best->expected_us;
 		choice->work_us = best->work_us;
@@ -356,9 +373,9 @@
 	struct choose_query together = *query;
 
 	choose_among_all(chooser, query, now_us, choice);
-	if (choice->backend || query->apart != CHOOSE_APART)
+	if (choice->backend || query->isolation != CHOOSE_ISOLATE_PREFERRED)
 		return;
-	together.apart = CHOOSE_TOGETHER;
+	together.isolation = CHOOSE_ISOLATE_NONE;
 	choose_among_all(chooser, &together, now_us, choice);
 }
 
@@ -366,8 +383,8 @@
 			const struct choose_query *query, uint64_t now_us,
 			GArray *views)
 {
-	const GPtrArray *backends =
-		backend_table_of(chooser->backends, query->service->name);
+	const GPtrArray *backends = backend_table_by_service(
+		chooser->backends, query->service->name);
 	guint i;
 
 	for (i = 0; backends && i < backends->len; i++) {
@@ -388,9 +405,11 @@
 				    query->route->target_us);
 	GArray *candidates = candidates_collect(chooser, query, times, now_us);
 	GArray *views = g_array_new(FALSE, TRUE, sizeof(struct choose_view));
-	bool kept_warm = keeps_warm(chooser, candidates, times);
-	const struct candidate *near = least(candidates, true, kept_warm);
-	const struct candidate *far = least(candidates, false, kept_warm);
+	bool avoid_cold = avoids_cold_runs(chooser, candidates, times);
+	const struct candidate *near =
+		find_cheapest(candidates, true, avoid_cold);
+	const struct candidate *far =
+		find_cheapest(candidates, false, avoid_cold);
 	guint i;
 
 	for (i = 0; i < candidates->len; i++) {
--- a/packages/core/chooser.c
+++ b/packages/core/chooser.c
@@ -5,26 +5,26 @@
 
 #include "core/duration.h"
 
-/* Round trip to another region before any was measured: a continent's width. */
-#define LINK_PRIOR_US (60 * US_PER_MS)
+/* Round trip to another region until measured: across a continent. */
+#define LINK_DEFAULT_US (60 * US_PER_MS)
 
-/* Within a region, where nothing was measured. */
+/* Round trip within the region until measured. */
 #define LINK_NEAR_US (1 * US_PER_MS)
 
-/* Weight of one measured round trip. */
+/* Weight of one round trip in the moving average. */
 #define LINK_WEIGHT 0.2
 
 /* Weight of one answer in a service's times and in a server's slowness. */
 #define TIMES_WEIGHT 0.05
 #define SLOWNESS_WEIGHT 0.15
-#define SLOWNESS_LEAST 0.4
-#define SLOWNESS_MOST 20.0
+#define SLOWNESS_MIN 0.4
+#define SLOWNESS_MAX 20.0
 
 /*
- * Part of the time to an answer that counts as work at least: the wait that was
- * expected for a slot may be more than it was.
+ * Lower bound of the service time, as a fraction of the time to the answer: the
+ * expected wait that is subtracted may exceed the real one.
  */
-#define WORK_PART_LEAST 0.2
+#define WORK_FRACTION_MIN 0.2
 
 struct link_time {
 	double round_trip_us;
@@ -77,13 +77,13 @@
 
 	if (link)
 		return (uint64_t)link->round_trip_us;
-	return strcmp(region, chooser->region) ? LINK_PRIOR_US : LINK_NEAR_US;
+	return strcmp(region, chooser->region) ? LINK_DEFAULT_US : LINK_NEAR_US;
 }
 
 void chooser_began(struct chooser *chooser, const struct choose_query *query,
 		   const struct choice *choice, uint64_t now_us)
 {
-	struct warm_pair pair = { choice->backend->life, query->object };
+	struct warm_pair pair = { choice->backend->incarnation, query->object };
 
 	if (query->has_object && !choice->warm)
 		warmth_begin(chooser->warmth, pair, WARM_OWN,
@@ -93,7 +93,7 @@
 void chooser_failed(struct chooser *chooser, const struct choose_query *query,
 		    const struct choice *choice)
 {
-	struct warm_pair pair = { choice->backend->life, query->object };
+	struct warm_pair pair = { choice->backend->incarnation, query->object };
 
 	if (query->has_object && !choice->warm)
 		warmth_abandon(chooser->warmth, pair);
@@ -101,17 +101,17 @@
 
 void chooser_learn(struct chooser *chooser, const struct choose_query *query,
 		   const struct choice *choice, uint64_t took_us,
-		   uint64_t way_us, uint64_t now_us)
+		   uint64_t round_trip_us, uint64_t now_us)
 {
 	struct backend *backend = choice->backend;
 	struct service_times *times =
 		backend_table_times(chooser->backends, query->service->name,
 				    query->route->target_us);
-	struct warm_pair pair = { backend->life, query->object };
+	struct warm_pair pair = { backend->incarnation, query->object };
 	double *usual_us = choice->warm ? &times->warm_us : &times->cold_us;
-	double service_us =
-		fmax((double)took_us - ((double)way_us + choice->wait_us),
-		     WORK_PART_LEAST * (double)took_us);
+	double service_us = fmax(
+		(double)took_us - ((double)round_trip_us + choice->wait_us),
+		WORK_FRACTION_MIN * (double)took_us);
 	double ratio = service_us / *usual_us;
 
 	if (query->has_object)
@@ -120,7 +120,7 @@
 		return;
 	backend->slowness += SLOWNESS_WEIGHT * (ratio - backend->slowness);
 	backend->slowness =
-		CLAMP(backend->slowness, SLOWNESS_LEAST, SLOWNESS_MOST);
+		CLAMP(backend->slowness, SLOWNESS_MIN, SLOWNESS_MAX);
 	*usual_us += TIMES_WEIGHT * (service_us - *usual_us);
 	times->samples++;
 }
@@ -144,7 +144,7 @@
 		return "trial";
 	case CHOOSE_HOLD:
 		return "hold";
-	case CHOOSE_NONE_KNOWN:
+	case CHOOSE_NONE_USABLE:
 		return "none-known";
 	case CHOOSE_NONE_FREE:
 		return "none-free";
--- a/packages/core/route_table.c
+++ b/packages/core/route_table.c
@@ -4,12 +4,12 @@
 
 #include "core/result.h"
 
-static void part_free(gpointer data)
+static void route_service_free(gpointer data)
 {
-	struct route_part *part = data;
+	struct route_service *entry = data;
 
-	g_free(part->service);
-	g_free(part);
+	g_free(entry->service);
+	g_free(entry);
 }
 
 static void service_free(gpointer data)
@@ -45,30 +45,33 @@
 
 	if (!*route->host || !prefix_is_well_formed(route->prefix)) {
 		g_set_error(error, RESULT_ERROR, RESULT_CONFIG_INVALID,
-			    "route %s: host or prefix is malformed",
+			    "route %s: host is empty, or prefix does not begin "
+			    "and end with a slash",
 			    route->name);
 		return false;
 	}
 	if (!route->timeout_us || !route->target_us || !route->max_attempts) {
 		g_set_error(error, RESULT_ERROR, RESULT_CONFIG_INVALID,
-			    "route %s: a time or max attempts is 0",
+			    "route %s: timeout, latency target and max "
+			    "attempts must be above 0",
 			    route->name);
 		return false;
 	}
-	for (i = 0; i < route->parts->len; i++) {
-		const struct route_part *part = route->parts->pdata[i];
+	for (i = 0; i < route->services->len; i++) {
+		const struct route_service *entry = route->services->pdata[i];
 
-		weight += part->weight;
-		if (route_table_service(table, part->service))
+		weight += entry->weight;
+		if (route_table_service(table, entry->service))
 			continue;
 		g_set_error(error, RESULT_ERROR, RESULT_CONFIG_INVALID,
 			    "route %s: unknown service %s", route->name,
-			    part->service);
+			    entry->service);
 		return false;
 	}
 	if (!weight) {
 		g_set_error(error, RESULT_ERROR, RESULT_CONFIG_INVALID,
-			    "route %s: no service with a weight", route->name);
+			    "route %s: no service with a weight above 0",
+			    route->name);
 		return false;
 	}
 	return true;
@@ -97,7 +100,7 @@
 	route->host = g_ascii_strdown(host, -1);
 	route->prefix = g_strdup(prefix);
 	route->max_attempts = 1;
-	route->parts = g_ptr_array_new_with_free_func(part_free);
+	route->services = g_ptr_array_new_with_free_func(route_service_free);
 	route->regions = g_ptr_array_new_with_free_func(g_free);
 	return route;
 }
@@ -107,7 +110,7 @@
 	g_free(route->name);
 	g_free(route->host);
 	g_free(route->prefix);
-	g_ptr_array_unref(route->parts);
+	g_ptr_array_unref(route->services);
 	g_ptr_array_unref(route->regions);
 	g_free(route);
 }
@@ -127,13 +130,14 @@
 	return route;
 }
 
-void route_add_part(struct route *route, const char *service, uint32_t weight)
+void route_add_service(struct route *route, const char *service,
+		       uint32_t weight)
 {
-	struct route_part *part = g_new0(struct route_part, 1);
+	struct route_service *entry = g_new0(struct route_service, 1);
 
-	part->service = g_strdup(service);
-	part->weight = weight;
-	g_ptr_array_add(route->parts, part);
+	entry->service = g_strdup(service);
+	entry->weight = weight;
+	g_ptr_array_add(route->services, entry);
 }
 
 struct service *route_table_add_service(struct route_table *table,
@@ -147,8 +151,8 @@
 }
 
 /*
- * Between host and prefix in a key: neither may hold it, so that a host with a
- * slash, which a caller may send, is never taken for another host and a path.
+ * Separates host and prefix in a key. Neither contains it, so a Host header
+ * with a slash never matches the key of another host with a prefix.
  */
 #define KEY_SEPARATOR '\n'
 
@@ -165,7 +169,7 @@
 		g_hash_table_insert(table->prefixes, key, route);
 }
 
-bool route_table_finish(struct route_table *table, GError **error)
+bool route_table_seal(struct route_table *table, GError **error)
 {
 	GHashTableIter iter;
 	gpointer value;
@@ -212,7 +216,7 @@
 	g_string_ascii_down(key);
 	g_string_append_c(key, KEY_SEPARATOR);
 	g_string_append_len(key, path, (gssize)length);
-	/* From the last slash to the first: the longest prefix comes first. */
+	/* From the last slash to the first, so the longest prefix matches. */
 	for (; length && !route; length--) {
 		if (path[length - 1] != '/')
 			continue;
@@ -231,20 +235,19 @@
 
 const char *route_next_service(struct route *route)
 {
-	struct route_part *best = route->parts->pdata[0];
+	struct route_service *best = route->services->pdata[0];
 	int64_t total = 0;
 	guint i;
 
-	for (i = 0; i < route->parts->len; i++) {
-		struct route_part *part = route->parts->pdata[i];
+	for (i = 0; i < route->services->len; i++) {
+		struct route_service *entry = route->services->pdata[i];
 
-		part->credit += part->weight;
-		total += part->weight;
-		/* A part of weight 0 gets nothing, not even the first request.
-		 */
-		if (part->weight &&
-		    (!best->weight || part->credit > best->credit))
-			best = part;
+		entry->credit += entry->weight;
+		total += entry->weight;
+		/* A service of weight 0 gets no request, not even the first. */
+		if (entry->weight &&
+		    (!best->weight || entry->credit > best->credit))
+			best = entry;
 	}
 	best->credit -= total;
 	return best->service;
--- a/packages/edge/admin_limits.c
+++ b/packages/edge/admin_limits.c
@@ -1,6 +1,6 @@
 #include "core/admin_json.h"
 #include "core/admin_table.h"
-#include "edge/admin_parts.h"
+#include "edge/admin_internal.h"
 
 static const char *const columns[] = { "backend", "service",	"domain",
 				       "per_s",	  "part_per_s", "tokens",
@@ -16,10 +16,10 @@
 		admin_json_text(backend->service),
 		admin_json_text(backend->domain),
 		json_real(limit->per_s),
-		json_real(limit->part_per_s),
+		json_real(limit->quota_per_s),
 		json_real(rate_limit_tokens(limit, now_us)),
 		admin_json_number(limit->sent),
-		admin_json_number(now_us - limit->named_us),
+		admin_json_number(now_us - limit->learned_us),
 	};
 
 	ADMIN_TABLE_ADD(table, columns, values);
--- a/packages/edge/admin_show.c
+++ b/packages/edge/admin_show.c
@@ -1,4 +1,4 @@
-#include "edge/admin_parts.h"
+#include "edge/admin_internal.h"
 
 #include <string.h>
 
@@ -8,7 +8,7 @@
 #include "core/result.h"
 #include "edge/sync.h"
 
-/* Shares as whole thousandths, as all tables of the language have them. */
+/* A share as a whole number of thousandths, as in all tables for operators. */
 static json_t *permille(double share)
 {
 	return admin_json_number((uint64_t)(share * 1000 + 0.5));
@@ -21,12 +21,15 @@
 
 static json_t *age(uint64_t since_us, uint64_t now_us)
 {
-	return admin_json_number_if(since_us && since_us <= now_us,
-				    now_us - since_us);
+	return admin_json_number_or_null(since_us && since_us <= now_us,
+					 now_us - since_us);
 }
 
-/* Values of a table in the order of their names, for g_list_free(). */
-static GList *in_order(GHashTable *by_name)
+/*
+ * The hash table's values, sorted by key. Free the list by g_list_free(); the
+ * values stay the table's.
+ */
+static GList *values_by_name(GHashTable *by_name)
 {
 	GList *names = g_list_sort(g_hash_table_get_keys(by_name),
 				   (GCompareFunc)strcmp);
@@ -122,7 +125,7 @@
 	uint64_t now_us = edge_now_us(edge);
 	const struct member *reader =
 		member_table_reader(edge->members, now_us);
-	GList *members = in_order(edge->members->by_name);
+	GList *members = values_by_name(edge->members->by_name);
 	GList *at;
 
 	for (at = members; at; at = at->next) {
@@ -139,7 +142,7 @@
 				member_serves(edge->members, member, now_us)),
 			json_boolean(member == reader),
 			is_self ? admin_json_number(0) :
-				  age(member->heard_us, now_us),
+				  age(member->heartbeat_us, now_us),
 		};
 
 		ADMIN_TABLE_ADD(&table, columns, values);
@@ -151,8 +154,8 @@
 
 /* --- backend servers ---------------------------------------------------- */
 
-static bool passes_filters(const struct query *query,
-			   const struct backend *backend)
+static bool matches_filters(const struct query *query,
+			    const struct backend *backend)
 {
 	return (!*query->service ||
 		!strcmp(query->service, backend->service)) &&
@@ -164,7 +167,7 @@
 {
 	if (backend->draining)
 		return "draining";
-	if (backend->lapsed_us)
+	if (backend->expire_us)
 		return "missing";
 	if (backend_table_evacuated(edge->backends, backend->domain))
 		return "evacuated";
@@ -203,10 +206,10 @@
 		admin_json_number(backend->slots),
 		json_real(backend_load(backend, now_us)),
 		admin_json_number(backend->in_flight),
-		age(backend->others_us, now_us),
+		age(backend->other_load_at_us, now_us),
 		permille(backend->failures),
 		permille(backend->slowness),
-		admin_json_number(backend->served),
+		admin_json_number(backend->sends),
 	};
 
 	ADMIN_TABLE_ADD(table, backend_columns, values);
@@ -216,11 +219,11 @@
 static json_t *show_backends(const struct edge *edge, const struct query *query)
 {
 	struct admin_table table = ADMIN_TABLE_NEW(backend_columns);
-	GList *backends = in_order(edge->backends->by_id);
+	GList *backends = values_by_name(edge->backends->by_id);
 	GList *at;
 
 	for (at = backends; at; at = at->next)
-		if (passes_filters(query, at->data))
+		if (matches_filters(query, at->data))
 			add_backend(edge, at->data, &table);
 	g_list_free(backends);
 	return admin_finish_table(edge, &table, "backend servers");
@@ -238,7 +241,7 @@
 {
 	static const struct service_times none = { .samples = 0 };
 	const GPtrArray *backends =
-		backend_table_of(edge->backends, service->name);
+		backend_table_by_service(edge->backends, service->name);
 	const struct service_times *times =
 		g_hash_table_lookup(edge->backends->times, service->name);
 	const struct extra_budget *budget =
@@ -260,8 +263,10 @@
 	values[1] = admin_json_number(count);
 	values[2] = admin_json_number(slots);
 	values[3] = json_real(load);
-	values[4] = admin_json_number_if(learned, (uint64_t)times->warm_us);
-	values[5] = admin_json_number_if(learned, (uint64_t)times->cold_us);
+	values[4] =
+		admin_json_number_or_null(learned, (uint64_t)times->warm_us);
+	values[5] =
+		admin_json_number_or_null(learned, (uint64_t)times->cold_us);
 	values[6] = admin_json_number(times->samples);
 	values[7] = permille(chooser_far_share(&edge->chooser, service->name));
 	values[8] = admin_json_number(budget ? extra_budget_taken(budget) : 0);
@@ -271,7 +276,7 @@
 static json_t *show_services(const struct edge *edge)
 {
 	struct admin_table table = ADMIN_TABLE_NEW(service_columns);
-	GList *services = in_order(edge->routes->services);
+	GList *services = values_by_name(edge->routes->services);
 	GList *at;
 
 	for (at = services; at; at = at->next)
@@ -287,14 +292,14 @@
 };
 
 static void add_route(struct admin_table *table, const struct route *route,
-		      const struct route_part *part)
+		      const struct route_service *route_service)
 {
 	json_t *const values[] = {
 		admin_json_text(route->name),
 		admin_json_text(route->host),
 		admin_json_text(route->prefix),
-		admin_json_text(part->service),
-		admin_json_number(part->weight),
+		admin_json_text(route_service->service),
+		admin_json_number(route_service->weight),
 		admin_json_number(route->timeout_us),
 		admin_json_number(route->target_us),
 		json_boolean(route->idempotent),
@@ -309,7 +314,7 @@
 static json_t *show_routes(const struct edge *edge)
 {
 	struct admin_table table = ADMIN_TABLE_NEW(route_columns);
-	GList *hosts = in_order(edge->routes->hosts);
+	GList *hosts = values_by_name(edge->routes->hosts);
 	GList *at;
 
 	for (at = hosts; at; at = at->next) {
@@ -320,9 +325,9 @@
 		for (i = 0; i < routes->len; i++) {
 			const struct route *route = routes->pdata[i];
 
-			for (j = 0; j < route->parts->len; j++)
+			for (j = 0; j < route->services->len; j++)
 				add_route(&table, route,
-					  route->parts->pdata[j]);
+					  route->services->pdata[j]);
 		}
 	}
 	g_list_free(hosts);
@@ -336,15 +341,15 @@
 	static const char *const columns[] = { "table", "row_version", "whole",
 					       "confirmed_age_us", "failures" };
 	struct admin_table table = ADMIN_TABLE_NEW(columns);
-	struct sync_view views[SYNC_TABLES];
-	uint32_t count = edge->sync ? sync_views(edge->sync, views) : 0;
+	struct sync_table_state views[SYNC_TABLES];
+	uint32_t count = edge->sync ? sync_table_states(edge->sync, views) : 0;
 	uint32_t i;
 
 	for (i = 0; i < count; i++) {
 		json_t *const values[] = {
 			json_string(views[i].name),
 			admin_json_number(views[i].version),
-			json_boolean(views[i].whole),
+			json_boolean(views[i].loaded),
 			age(views[i].confirmed_us, edge_now_us(edge)),
 			admin_json_number(views[i].failures),
 		};
@@ -359,7 +364,7 @@
 	static const char *const columns[] = { "cause", "status", "count",
 					       "last_age_us", "last_request" };
 	struct admin_table table = ADMIN_TABLE_NEW(columns);
-	GList *refusals = in_order(edge->refusals);
+	GList *refusals = values_by_name(edge->refusals);
 	GList *at;
 
 	for (at = refusals; at; at = at->next) {
@@ -369,7 +374,7 @@
 			admin_json_number(refusal->status),
 			admin_json_number(refusal->count),
 			age(refusal->last_us, edge_now_us(edge)),
-			admin_json_text(refusal->last_id),
+			admin_json_text(refusal->last_request_id),
 		};
 
 		ADMIN_TABLE_ADD(&table, columns, values);
--- a/packages/edge/admin_suspects.c
+++ b/packages/edge/admin_suspects.c
@@ -1,4 +1,4 @@
-#include "edge/admin_parts.h"
+#include "edge/admin_internal.h"
 
 #include <inttypes.h>
 
@@ -16,27 +16,27 @@
 static const char *state_of(const struct suspect *suspect, uint64_t now_us)
 {
 	if (!suspect->rounds)
-		return suspect->counted ? "suspect" : "cleared";
+		return suspect->evidence_crashes ? "suspect" : "cleared";
 	return suspect->until_us > now_us ? "quarantined" : "to be tried";
 }
 
-/* The servers that ended, by their ids where these are still known. */
+/* The crashed servers: ids, or incarnations of servers no longer listed. */
 static char *servers_of(const struct edge *edge, const struct suspect *suspect)
 {
 	GString *text = g_string_new(NULL);
 	uint32_t i;
 
 	for (i = 0; i < suspect->crash_count; i++) {
-		uint32_t life = suspect->crashes[i].life;
-		const struct backend *backend =
-			backend_table_find_life(edge->backends, life);
+		uint32_t incarnation = suspect->crashes[i].incarnation;
+		const struct backend *backend = backend_table_find_incarnation(
+			edge->backends, incarnation);
 
 		if (i)
 			g_string_append(text, " ");
 		if (backend)
 			g_string_append(text, backend->id);
 		else
-			g_string_append_printf(text, "life-%08x", life);
+			g_string_append_printf(text, "life-%08x", incarnation);
 	}
 	return g_string_free(text, FALSE);
 }
@@ -56,9 +56,9 @@
 		admin_json_number(suspect->crash_count),
 		admin_json_text(servers),
 		admin_json_number(suspect->rounds),
-		admin_json_number_if(suspect->rounds != 0, left_us),
+		admin_json_number_or_null(suspect->rounds != 0, left_us),
 		json_boolean(suspect->by_hand),
-		admin_json_number(now_us - suspect->touched_us),
+		admin_json_number(now_us - suspect->updated_us),
 		admin_json_text(suspect->text),
 	};
 
@@ -72,25 +72,25 @@
 	struct admin_table table = ADMIN_TABLE_NEW(columns);
 	uint32_t i;
 
-	for (i = 0; i < SUSPECTS_MOST; i++)
+	for (i = 0; i < SUSPECT_MAX_ENTRIES; i++)
 		if (edge->suspects->keys[i])
 			add_suspect(edge, &edge->suspects->entries[i], &table);
 	return admin_finish_table(edge, &table, "suspects");
 }
 
-static json_t *done(const struct query *query)
+static json_t *success_answer(const struct query *query)
 {
 	char *message = g_strdup_printf(
 		"%016" PRIx64 " is %s", query->fingerprint,
 		query->verb == QUERY_RELEASE ? "released" : "quarantined");
-	json_t *root = admin_json_new(RESULT_OK, message);
+	json_t *root = admin_json_new_answer(RESULT_OK, message);
 
 	g_free(message);
 	return root;
 }
 
-json_t *admin_rule_suspect(struct edge *edge, const struct query *query,
-			   GError **error)
+json_t *admin_change_suspect(struct edge *edge, const struct query *query,
+			     GError **error)
 {
 	uint64_t now_us = edge_now_us(edge);
 	bool releases = query->verb == QUERY_RELEASE;
@@ -112,8 +112,8 @@
 	log_event(LOG_WARNING, releases ? "released" : "quarantined",
 		  "fingerprint=%016" PRIx64 " by_hand=yes", query->fingerprint);
 	if (edge->gossip)
-		gossip_tell_words(edge->gossip);
+		gossip_schedule_broadcast(edge->gossip);
 	if (edge->quarantines)
-		quarantine_store_keep(edge->quarantines, query->fingerprint);
-	return done(query);
+		quarantine_store_write(edge->quarantines, query->fingerprint);
+	return success_answer(query);
 }
--- a/packages/edge/admin_where.c
+++ b/packages/edge/admin_where.c
@@ -1,4 +1,4 @@
-#include "edge/admin_parts.h"
+#include "edge/admin_internal.h"
 
 #include <string.h>
 
@@ -8,7 +8,7 @@
 #include "core/hash.h"
 #include "core/result.h"
 
-/* The first route, by name, that goes to the service; NULL if there is none. */
+/* The first route by name that leads to the service, or NULL. */
 static struct route *route_to(const struct edge *edge, const char *service)
 {
 	struct route *found = NULL;
@@ -24,11 +24,11 @@
 		for (i = 0; i < routes->len; i++) {
 			struct route *route = routes->pdata[i];
 
-			for (j = 0; j < route->parts->len; j++) {
-				const struct route_part *part =
-					route->parts->pdata[j];
+			for (j = 0; j < route->services->len; j++) {
+				const struct route_service *route_service =
+					route->services->pdata[j];
 
-				if (!strcmp(part->service, service) &&
+				if (!strcmp(route_service->service, service) &&
 				    (!found ||
 				     strcmp(route->name, found->name) < 0))
 					found = route;
@@ -39,8 +39,8 @@
 }
 
 /*
- * What another region's nodes would do is theirs to say: they know other loads,
- * and their own links.
+ * Only places of this node's region can be answered for: nodes of other regions
+ * have other load reports, and latencies of their own links.
  */
 static bool check_domain(const struct edge *edge, const char *domain,
 			 GError **error)
@@ -60,29 +60,31 @@
 	return false;
 }
 
-static bool make_query(const struct edge *edge, const struct query *query,
-		       struct choose_query *made, GError **error)
+static bool make_choose_query(const struct edge *edge,
+			      const struct query *query,
+			      struct choose_query *choose_query, GError **error)
 {
-	memset(made, 0, sizeof(*made));
-	made->service = route_table_service(edge->routes, query->service);
-	if (!made->service) {
+	memset(choose_query, 0, sizeof(*choose_query));
+	choose_query->service =
+		route_table_service(edge->routes, query->service);
+	if (!choose_query->service) {
 		g_set_error(error, RESULT_ERROR, RESULT_UNKNOWN_NAME,
 			    "there is no service %s", query->service);
 		return false;
 	}
-	made->route = route_to(edge, query->service);
-	if (!made->route) {
+	choose_query->route = route_to(edge, query->service);
+	if (!choose_query->route) {
 		g_set_error(error, RESULT_ERROR, RESULT_CONFLICT,
 			    "no route goes to service %s", query->service);
 		return false;
 	}
-	made->left_us = made->route->timeout_us;
-	made->has_object = *query->object_key != '\0';
-	made->object = hash_text(query->object_key);
+	choose_query->left_us = choose_query->route->timeout_us;
+	choose_query->has_object = *query->object_key != '\0';
+	choose_query->object = hash_text(query->object_key);
 	return true;
 }
 
-/* What a choice in this region or out of it takes; NULL if there is none. */
+/* The choice: the best of this region, else of the others, else NULL. */
 static const struct choose_view *best_of(const GArray *views)
 {
 	const struct choose_view *best = NULL;
@@ -123,12 +125,12 @@
 		g_string_append_printf(
 			text, "to %s, by route %s; %.0f%% may leave the region",
 			best->backend->id, query->route->name, 100 * share);
-	root = admin_json_new(RESULT_OK, text->str);
+	root = admin_json_new_answer(RESULT_OK, text->str);
 	g_string_free(text, TRUE);
 	return root;
 }
 
-json_t *admin_where_goes(const struct edge *edge, const struct query *query,
+json_t *admin_show_where(const struct edge *edge, const struct query *query,
 			 GError **error)
 {
 	static const char *const columns[] = {
@@ -137,15 +139,15 @@
 	};
 	uint64_t now_us = edge_now_us(edge);
 	struct admin_table table;
-	struct choose_query made;
+	struct choose_query choose_query;
 	GArray *views;
 	json_t *root;
 	guint i;
 
 	if (!check_domain(edge, query->from, error) ||
-	    !make_query(edge, query, &made, error))
+	    !make_choose_query(edge, query, &choose_query, error))
 		return NULL;
-	views = choose_explain(&edge->chooser, &made, now_us);
+	views = choose_explain(&edge->chooser, &choose_query, now_us);
 	table = ADMIN_TABLE_NEW(columns);
 	for (i = 0; i < views->len; i++) {
 		const struct choose_view *view =
@@ -156,20 +158,22 @@
 			admin_json_text(backend->id),
 			admin_json_text(backend->domain),
 			json_string(rule_of(view)),
-			admin_json_number_if(open, i),
-			admin_json_number_if(open, (uint64_t)view->cost_us),
-			admin_json_number_if(open, (uint64_t)view->expected_us),
-			admin_json_boolean_if(open, view->warm),
-			admin_json_boolean_if(open, view->near),
-			admin_json_boolean_if(open, view->full),
+			admin_json_number_or_null(open, i),
+			admin_json_number_or_null(open,
+						  (uint64_t)view->cost_us),
+			admin_json_number_or_null(open,
+						  (uint64_t)view->expected_us),
+			admin_json_boolean_or_null(open, view->warm),
+			admin_json_boolean_or_null(open, view->near),
+			admin_json_boolean_or_null(open, view->full),
 			admin_json_number(backend->slots),
 			json_real(backend_load(backend, now_us)),
 		};
 
 		ADMIN_TABLE_ADD(&table, columns, values);
 	}
-	root = make_message(edge, &made, best_of(views));
-	admin_table_move(root, &table, edge->routes->version);
+	root = make_message(edge, &choose_query, best_of(views));
+	admin_table_move_into(root, &table, edge->routes->version);
 	g_array_unref(views);
 	return root;
 }
--- a/packages/edge/backend_row.c
+++ b/packages/edge/backend_row.c
@@ -3,8 +3,10 @@
 #include "core/duration.h"
 
 /*
- * A server whose entry says that it is cold is told as cold, also where that
- * time is over: two nodes that differ in this differ in their digests.
+ * Whether a server is listed as cold is part of the table's digest. So such a
+ * server is sent with at least 1 ms left, even when its warm-up is over: with 0
+ * the peer would list it as warm, and its digest would differ from this node's
+ * although no row has changed.
  */
 static uint32_t cold_left_ms(const struct backend *backend, uint64_t now_us)
 {
@@ -16,7 +18,7 @@
 }
 
 void backend_row_fill(const struct backend *backend, uint64_t now_us,
-		      struct beat_row *row)
+		      struct heartbeat_row *row)
 {
 	g_strlcpy(row->id, backend->id, sizeof(row->id));
 	g_strlcpy(row->service, backend->service, sizeof(row->service));
@@ -29,9 +31,9 @@
 	row->cold_left_ms = cold_left_ms(backend, now_us);
 }
 
-void backend_row_take(struct edge *edge, const struct beat_row *row)
+void backend_row_receive(struct edge *edge, const struct heartbeat_row *row)
 {
-	const struct backend_facts facts = {
+	const struct backend_info facts = {
 		.id = row->id,
 		.service = row->service,
 		.address = row->address,
--- a/packages/edge/edge.c
+++ b/packages/edge/edge.c
@@ -3,8 +3,8 @@
 #include <http_parser.h>
 #include <string.h>
 
-/* Idle connections that are kept to each backend server. */
-#define IDLE_MOST 4
+/* Idle connections kept per backend server. */
+#define MAX_IDLE 4
 
 static void refusal_free(gpointer data)
 {
@@ -23,8 +23,8 @@
 
 	memset(edge, 0, sizeof(*edge));
 	/*
-	 * The parser's own limit, 80 KB, is below what an operator may allow:
-	 * heads between the two were turned away for good.
+	 * The parser's default limit, 80 KB, is below the largest limit an
+	 * operator may set: it rejected heads that the settings allowed.
 	 */
 	http_parser_set_max_header_size(REQUEST_HEAD_MAX_BYTES);
 	edge->loop = loop;
@@ -52,7 +52,7 @@
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	edge->refusals = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 					       refusal_free);
-	pool_init(&edge->pool, loop, clock, &answers, IDLE_MOST);
+	pool_init(&edge->pool, loop, clock, &answers, MAX_IDLE);
 	g_queue_init(&edge->callers);
 }
 
@@ -71,11 +71,11 @@
 
 bool edge_is_ready(const struct edge *edge)
 {
-	return edge->routes && edge->backends->whole && !edge->stopping;
+	return edge->routes && edge->backends->loaded && !edge->stopping;
 }
 
-void edge_note_refusal(struct edge *edge, const char *cause, uint16_t status,
-		       const char *request_id)
+void edge_record_refusal(struct edge *edge, const char *cause, uint16_t status,
+			 const char *request_id)
 {
 	struct refusal *refusal = g_hash_table_lookup(edge->refusals, cause);
 
@@ -87,7 +87,8 @@
 	refusal->status = status;
 	refusal->count++;
 	refusal->last_us = edge_now_us(edge);
-	g_strlcpy(refusal->last_id, request_id, sizeof(refusal->last_id));
+	g_strlcpy(refusal->last_request_id, request_id,
+		  sizeof(refusal->last_request_id));
 }
 
 struct extra_budget *edge_budget(struct edge *edge, const char *service)
@@ -105,13 +106,14 @@
 bool edge_take_extra(struct edge *edge, const char *service)
 {
 	/*
-	 * A node that has read no member list yet, or was cut off from it, must
-	 * not take the whole allowance for its own.
+	 * The allowance is shared by all nodes. A node that knows few or no
+	 * other members, as after its start or if it can't read their table,
+	 * must not use all of it alone.
 	 */
 	uint32_t nodes = MAX(member_table_count(edge->members),
-			     edge->settings.nodes_least);
+			     edge->settings.min_nodes_assumed);
 
 	return extra_budget_take(edge_budget(edge, service),
-				 &edge->settings.extra, nodes,
+				 &edge->settings.extra_requests, nodes,
 				 edge_now_us(edge));
 }
--- a/packages/edge/gossip.h
+++ b/packages/edge/gossip.h
@@ -1,5 +1,5 @@
 /*
- * gossip - beats between nodes: who lives, what is warm, how loaded
+ * gossip - exchange of heartbeats between nodes: liveness, warm servers, load
  */
 #ifndef EDGE_GOSSIP_H
 #define EDGE_GOSSIP_H
@@ -12,33 +12,46 @@
 
 struct gossip;
 
-/* Listen for beats and send them; NULL with RESULT_SYSTEM on failure. */
+/*
+ * Listens for heartbeats and starts to send them. NULL with RESULT_SYSTEM on
+ * failure.
+ */
 struct gossip *gossip_open(struct edge *edge, GError **error);
-/* The memory may be freed once the loop has turned. */
+/* The caller frees the memory after one more iteration of the event loop. */
 void gossip_close(struct gossip *gossip);
 
-/* What beats bring and take of the platform's tables; see sync.h. */
-void gossip_attach(struct gossip *gossip, struct sync *sync);
+/*
+ * Sets the source of the table digests to send and the receiver of those that
+ * arrive (see sync.h). NULL, as at first: none are sent or applied.
+ */
+void gossip_set_sync(struct gossip *gossip, struct sync *sync);
 
 /*
- * Tell the neighbours which backend servers changed, where this node reads for
- * them; and whom they hear of anyway, with the next beat.
+ * Takes the pending changes of backend servers. The region's reader sends them
+ * to the region's peers, unless they are too many for its link; other nodes
+ * discard them. Also done before each heartbeat.
  */
-void gossip_tell_changes(struct gossip *gossip);
+void gossip_send_changes(struct gossip *gossip);
 
 /*
- * Tell all nodes, wherever they are, the words that can't wait for a beat: of
- * suspects, since a node that doesn't know sends such a request to one more
- * server. Told a moment later, together.
+ * Schedules a datagram to all nodes of all regions with the updates that can't
+ * wait for a heartbeat. Of suspects: a node that lacks one sends the request to
+ * one more server. A short delay collects several updates into one datagram.
  */
-void gossip_tell_words(struct gossip *gossip);
+void gossip_schedule_broadcast(struct gossip *gossip);
 
-/* Ask a member for a token of the rate of the server of this life. */
-void gossip_ask_tokens(struct gossip *gossip, const struct member *member,
-		       uint32_t life, uint32_t count);
+/*
+ * Asks a member for count tokens of the rate of the server with this
+ * incarnation.
+ */
+void gossip_request_tokens(struct gossip *gossip, const struct member *member,
+			   uint32_t incarnation, uint32_t count);
 
-/* Beat now, since something changed that others should know at once. */
-void gossip_hurry(struct gossip *gossip);
+/*
+ * Sends a heartbeat at once, to other regions too, after a change that peers
+ * need immediately.
+ */
+void gossip_send_heartbeat_now(struct gossip *gossip);
 
 #ifdef __cplusplus
 }
--- a/packages/edge/link.c
+++ b/packages/edge/link.c
@@ -34,10 +34,10 @@
 	while (link->awaiting && !link->closing) {
 		switch (message_reader_feed(&link->reader, bytes, length,
 					    &used)) {
-		case MESSAGE_WHOLE:
+		case MESSAGE_COMPLETE:
 			bytes += used;
 			length -= used;
-			link->extra = length > 0;
+			link->extra_bytes = length > 0;
 			take_answer(link);
 			if (!length)
 				return;
@@ -72,7 +72,9 @@
 		feed(link, buffer->base, (size_t)count);
 		return;
 	}
-	/* Without a length, an answer is whole where its connection ends. */
+	/*
+	 * An answer without a length is complete at the end of the connection.
+	 */
 	if (count == UV_EOF && whole_at_end)
 		feed(link, NULL, 0);
 	if (!link->closing)
--- a/packages/edge/local.c
+++ b/packages/edge/local.c
@@ -8,8 +8,8 @@
 #include "edge/snapshot.h"
 #include "edge/sync.h"
 
-/* Nodes that one look-up names at most. */
-#define LOOKUP_MOST 64
+/* Maximum number of nodes in the answer to a look-up. */
+#define LOOKUP_MAX_NODES 64
 
 static bool path_is(const struct message *request, const char *path)
 {
@@ -19,7 +19,7 @@
 	       !strncmp(request->target->str, path, length);
 }
 
-/* Value of a parameter of the query, for g_free(); NULL if there is none. */
+/* Value of a query parameter, for g_free(); NULL if it is missing. */
 static char *parameter(const struct message *request, const char *name)
 {
 	const char *query = strchr(request->target->str, '?');
@@ -54,14 +54,15 @@
 			  struct local_answer *answer)
 {
 	char *region = parameter(request, edge->dialect->lookup_region);
-	const struct member *entries[LOOKUP_MOST];
-	struct endpoint endpoints[LOOKUP_MOST];
+	const struct member *entries[LOOKUP_MAX_NODES];
+	struct endpoint endpoints[LOOKUP_MAX_NODES];
 	uint32_t count;
 	uint32_t i;
 	char *text;
 
 	count = member_table_entries(edge->members, region ? region : "",
-				     edge_now_us(edge), entries, LOOKUP_MOST);
+				     edge_now_us(edge), entries,
+				     LOOKUP_MAX_NODES);
 	metric_add(edge->stats.lookups, 1);
 	g_free(region);
 	if (!count) {
@@ -143,7 +144,7 @@
 	answer->status = 200;
 	answer->headers = g_string_new(NULL);
 	answer->body = g_byte_array_new();
-	if (kind == LISTENER_READY &&
+	if (kind == LISTENER_READINESS &&
 	    path_is(request, edge->dialect->ready_path))
 		answer_ready(edge, answer);
 	else if (kind == LISTENER_LOOKUP &&
--- a/packages/edge/quarantine_store.c
+++ b/packages/edge/quarantine_store.c
@@ -8,11 +8,15 @@
 #include "core/read_plan.h"
 #include "edge/lane.h"
 
-/* Until an answer of the platform begins. */
+/* Time-out until an answer of the platform begins. */
 #define CALL_TIMEOUT_US (1000 * US_PER_MS)
 
-/* Rows that wait to be written; more than servers crash in a store's outage. */
-#define WAITING_MOST 64
+/*
+ * Limit of rows that wait for a write, and of rows that this node remembers as
+ * its own; further ones aren't written, or not remembered. More than the
+ * servers that crash while the store can't be reached.
+ */
+#define MAX_PENDING_ROWS 64
 
 /* 16 hexadecimal digits and the NUL. */
 #define KEY_SIZE 17
@@ -21,23 +25,23 @@
 	struct edge *edge;
 	struct lane lane;
 	uv_timer_t timer;
-	bool members_known; /* and so who reads */
-	bool is_read; /* the rows were read, or others of the region do it */
-	char *page_key; /* last key of the pages read so far; NULL: none */
-	uint32_t rows; /* in these */
-	uint64_t waiting[WAITING_MOST]; /* fingerprints of rows to be written */
-	uint32_t waiting_count;
-	uint64_t writing; /* of these, the one whose call is out */
-	bool changed; /* it changed since that call was made */
-	uint64_t kept[WAITING_MOST]; /* fingerprints whose rows this node wrote
-				      */
-	uint32_t kept_count;
-	uint32_t failures; /* of calls, in a row */
+	bool members_known; /* needed to know which nodes read */
+	bool read_done; /* rows read, or left to other nodes */
+	char *page_key; /* last key read so far; NULL: none */
+	uint32_t rows; /* rows read so far */
+	uint64_t pending[MAX_PENDING_ROWS]; /* fingerprints to write */
+	uint32_t pending_count;
+	uint64_t writing; /* fingerprint of the write in progress */
+	bool changed; /* changed during that write */
+	uint64_t own_rows[MAX_PENDING_ROWS]; /* fingerprints that this node
+						wrote */
+	uint32_t own_row_count;
+	uint32_t failures; /* consecutive failed calls */
 };
 
 static void step(struct quarantine_store *store);
 
-static uint64_t real_ms(void)
+static uint64_t wall_clock_ms(void)
 {
 	return (uint64_t)g_get_real_time() / 1000;
 }
@@ -55,12 +59,12 @@
 static void step_after_failure(struct quarantine_store *store,
 			       const char *cause)
 {
-	uint32_t rank = member_table_read_rank(store->edge->members);
+	uint32_t rank = member_table_reader_rank(store->edge->members);
 
 	log_event(LOG_WARNING, "quarantines-lost", "cause=%s failures=%u",
 		  cause, ++store->failures);
-	step_later(store,
-		   read_retry_us(store->failures, rank, g_random_double()));
+	step_later(store, read_retry_delay_us(store->failures, rank,
+					      g_random_double()));
 }
 
 /* --- writing ------------------------------------------------------------ */
@@ -74,32 +78,34 @@
 	record->rounds = suspect->rounds;
 	if (suspect->until_us > now_us)
 		record->left_ms = (suspect->until_us - now_us) / US_PER_MS;
-	record->written_ms = real_ms();
+	record->written_ms = wall_clock_ms();
 	record->by_hand = suspect->by_hand;
-	for (i = 0; i < MIN(suspect->crash_count, QUARANTINE_LIVES); i++)
-		record->lives[record->life_count++] = suspect->crashes[i].life;
+	for (i = 0; i < MIN(suspect->crash_count, QUARANTINE_MAX_INCARNATIONS);
+	     i++)
+		record->incarnations[record->incarnation_count++] =
+			suspect->crashes[i].incarnation;
 	record->request = (char *)suspect->text;
 }
 
-static void note_kept(struct quarantine_store *store, uint64_t fingerprint)
+static void add_own_row(struct quarantine_store *store, uint64_t fingerprint)
 {
 	uint32_t i;
 
-	for (i = 0; i < store->kept_count; i++)
-		if (store->kept[i] == fingerprint)
+	for (i = 0; i < store->own_row_count; i++)
+		if (store->own_rows[i] == fingerprint)
 			return;
-	if (store->kept_count < WAITING_MOST)
-		store->kept[store->kept_count++] = fingerprint;
+	if (store->own_row_count < MAX_PENDING_ROWS)
+		store->own_rows[store->own_row_count++] = fingerprint;
 }
 
-static void forget_written(struct quarantine_store *store)
+static void remove_written(struct quarantine_store *store)
 {
 	uint32_t i;
 
-	for (i = 0; i < store->waiting_count; i++)
-		if (store->waiting[i] == store->writing)
-			store->waiting[i] =
-				store->waiting[--store->waiting_count];
+	for (i = 0; i < store->pending_count; i++)
+		if (store->pending[i] == store->writing)
+			store->pending[i] =
+				store->pending[--store->pending_count];
 	store->writing = 0;
 }
 
@@ -114,7 +120,7 @@
 	}
 	store->failures = 0;
 	if (!store->changed)
-		forget_written(store);
+		remove_written(store);
 	step(store);
 }
 
@@ -127,15 +133,15 @@
 	struct registry_call call;
 	char key[KEY_SIZE];
 
-	store->writing = store->waiting[0];
+	store->writing = store->pending[0];
 	store->changed = false;
 	suspect = suspect_table_find(edge->suspects, store->writing);
 	g_snprintf(key, sizeof(key), "%016" PRIx64, store->writing);
 	if (suspect && suspect->rounds) {
 		fill_record(suspect, edge_now_us(edge), &record);
-		note_kept(store, store->writing);
+		add_own_row(store, store->writing);
 	}
-	registry->vtable->put_quarantine(
+	registry->vtable->build_put_quarantine(
 		registry, key, suspect && suspect->rounds ? &record : NULL,
 		&call);
 	metric_add(edge->stats.registry_writes, 1);
@@ -144,84 +150,91 @@
 	registry_call_release(&call);
 }
 
-void quarantine_store_keep(struct quarantine_store *store, uint64_t fingerprint)
+void quarantine_store_write(struct quarantine_store *store,
+			    uint64_t fingerprint)
 {
 	uint32_t i;
 
 	if (fingerprint == store->writing)
 		store->changed = true;
-	for (i = 0; i < store->waiting_count; i++)
-		if (store->waiting[i] == fingerprint)
+	for (i = 0; i < store->pending_count; i++)
+		if (store->pending[i] == fingerprint)
 			return;
-	if (store->waiting_count == WAITING_MOST)
+	if (store->pending_count == MAX_PENDING_ROWS)
 		return;
-	store->waiting[store->waiting_count++] = fingerprint;
+	store->pending[store->pending_count++] = fingerprint;
 	step(store);
 }
 
-void quarantine_store_review(struct quarantine_store *store)
+void quarantine_store_remove_lifted(struct quarantine_store *store)
 {
 	uint32_t i;
 
-	for (i = store->kept_count; i > 0; i--) {
-		uint64_t fingerprint = store->kept[i - 1];
+	for (i = store->own_row_count; i > 0; i--) {
+		uint64_t fingerprint = store->own_rows[i - 1];
 
 		if (suspect_is_quarantined(store->edge->suspects, fingerprint))
 			continue;
-		store->kept[i - 1] = store->kept[--store->kept_count];
+		store->own_rows[i - 1] =
+			store->own_rows[--store->own_row_count];
 		log_event(LOG_WARNING, "quarantine-lifted",
 			  "fingerprint=%016" PRIx64, fingerprint);
-		quarantine_store_keep(store, fingerprint);
+		quarantine_store_write(store, fingerprint);
 	}
 }
 
 /* --- reading ------------------------------------------------------------ */
 
-/* Clocks of two nodes differ by little against a quarantine. */
-static uint64_t passed_ms(const struct quarantine_record *record)
+/*
+ * Time since the row was written. The clocks of nodes differ by little compared
+ * with a quarantine's length.
+ */
+static uint64_t elapsed_ms(const struct quarantine_record *record)
 {
-	uint64_t now_ms = real_ms();
+	uint64_t now_ms = wall_clock_ms();
 
 	return now_ms > record->written_ms ? now_ms - record->written_ms : 0;
 }
 
 static uint64_t left_us(const struct quarantine_record *record)
 {
-	uint64_t ms = passed_ms(record);
+	uint64_t ms = elapsed_ms(record);
 
 	return ms < record->left_ms ? (record->left_ms - ms) * US_PER_MS : 0;
 }
 
-/* Ended for so long that nodes have forgotten it. */
-static bool is_over(const struct quarantine_record *record)
+/* Ended longer ago than nodes keep a suspect. */
+static bool is_expired(const struct quarantine_record *record)
 {
-	uint64_t ms = passed_ms(record);
+	uint64_t ms = elapsed_ms(record);
 
 	return ms >= record->left_ms &&
-	       ms - record->left_ms >= SUSPECT_KEEP_US / US_PER_MS;
+	       ms - record->left_ms >= SUSPECT_TTL_US / US_PER_MS;
 }
 
-static bool take_record(struct edge *edge, uint64_t fingerprint,
-			const struct quarantine_record *record)
+static bool import_record(struct edge *edge, uint64_t fingerprint,
+			  const struct quarantine_record *record)
 {
-	struct suspect_word word = {
+	struct suspect_update update = {
 		.fingerprint = fingerprint,
-		.crash_count = record->life_count,
+		.crash_count = record->incarnation_count,
 		.rounds = record->rounds,
 		.left_us = left_us(record),
 		.by_hand = record->by_hand,
 	};
 	uint32_t i;
 
-	for (i = 0; i < record->life_count; i++) {
-		word.crashes[i].life = record->lives[i];
-		word.crashes[i].age_us = i * US_PER_MS;
+	for (i = 0; i < record->incarnation_count; i++) {
+		update.crashes[i].incarnation = record->incarnations[i];
+		update.crashes[i].age_us = i * US_PER_MS;
 	}
-	return suspect_take(edge->suspects, &word, edge->members->self->hash,
-			    edge->backends, edge_now_us(edge));
+	return suspect_apply_update(edge->suspects, &update,
+				    edge->members->self->hash, edge->backends,
+				    edge_now_us(edge));
 }
 
-static void keep_text(struct edge *edge, uint64_t fingerprint, const char *text)
+static void set_request_text(struct edge *edge, uint64_t fingerprint,
+			     const char *text)
 {
 	struct suspect *suspect =
 		suspect_table_find(edge->suspects, fingerprint);
@@ -230,8 +243,8 @@
 		g_strlcpy(suspect->text, text, sizeof(suspect->text));
 }
 
-static void take_row(struct quarantine_store *store,
-		     const struct registry_row *row)
+static void import_row(struct quarantine_store *store,
+		       const struct registry_row *row)
 {
 	struct edge *edge = store->edge;
 	const struct registry *registry = edge->registry;
@@ -248,10 +261,10 @@
 		g_error_free(error);
 		return;
 	}
-	if (is_over(&record)) {
-		quarantine_store_keep(store, fingerprint);
-	} else if (take_record(edge, fingerprint, &record)) {
-		keep_text(edge, fingerprint, record.request);
+	if (is_expired(&record)) {
+		quarantine_store_write(store, fingerprint);
+	} else if (import_record(edge, fingerprint, &record)) {
+		set_request_text(edge, fingerprint, record.request);
 	} else {
 		log_event(LOG_WARNING, "quarantine-refused",
 			  "key=%s cause=absurd", row->key);
@@ -259,7 +272,10 @@
 	quarantine_record_release(&record);
 }
 
-/* Where there are more rows, the next page begins after the last one. */
+/*
+ * After the last page the read is done; otherwise the next page begins after
+ * the last key.
+ */
 static void end_page(struct quarantine_store *store,
 		     const struct registry_rows *rows)
 {
@@ -272,7 +288,7 @@
 					 .key);
 		return;
 	}
-	store->is_read = true;
+	store->read_done = true;
 	log_event(LOG_INFO, "table-read", "table=quarantines rows=%u",
 		  store->rows);
 }
@@ -299,8 +315,8 @@
 	}
 	store->failures = 0;
 	for (i = 0; i < rows.rows->len; i++)
-		take_row(store,
-			 &g_array_index(rows.rows, struct registry_row, i));
+		import_row(store,
+			   &g_array_index(rows.rows, struct registry_row, i));
 	end_page(store, &rows);
 	registry_rows_release(&rows);
 	step(store);
@@ -311,10 +327,10 @@
 	struct edge *edge = store->edge;
 	struct registry_call call;
 
-	edge->registry->vtable->read(edge->registry, REGISTRY_QUARANTINES,
-				     store->page_key ? store->page_key : "",
-				     &call);
-	stats_count_read(&edge->stats, READ_STARTS);
+	edge->registry->vtable->build_read(
+		edge->registry, REGISTRY_QUARANTINES,
+		store->page_key ? store->page_key : "", &call);
+	stats_count_read(&edge->stats, READ_AT_START);
 	lane_call(&store->lane, call.method, call.target, call.body,
 		  CALL_TIMEOUT_US, on_read, store);
 	registry_call_release(&call);
@@ -326,15 +342,18 @@
 
 	if (lane_is_busy(&store->lane))
 		return;
-	/* Before the members are known, nobody knows who reads. */
-	if (!store->is_read && !store->members_known)
+	/*
+	 * Whether this node reads the quarantines depends on its rank in the
+	 * member table, so wait until that is loaded.
+	 */
+	if (!store->read_done && !store->members_known)
 		return;
-	if (!store->is_read &&
-	    member_table_read_rank(edge->members) >= READ_FIRST_NODES)
-		store->is_read = true;
-	if (!store->is_read)
+	if (!store->read_done &&
+	    member_table_reader_rank(edge->members) >= READ_FIRST_NODES)
+		store->read_done = true;
+	if (!store->read_done)
 		read_rows(store);
-	else if (store->waiting_count)
+	else if (store->pending_count)
 		write_row(store);
 }
 
@@ -362,18 +381,18 @@
 void quarantine_store_members_known(struct quarantine_store *store)
 {
 	store->members_known = true;
-	if (!store->is_read)
+	if (!store->read_done)
 		step(store);
 }
 
 bool quarantine_store_is_reading(const struct quarantine_store *store)
 {
-	return !store->is_read && !store->failures &&
+	return !store->read_done && !store->failures &&
 	       lane_is_busy(&store->lane);
 }
 
 void quarantine_store_redirect(struct quarantine_store *store,
 			       const struct endpoint *to)
 {
-	lane_redirect(&store->lane, to);
+	lane_set_address(&store->lane, to);
 }
--- a/packages/edge/stats.c
+++ b/packages/edge/stats.c
@@ -30,22 +30,22 @@
 	{ "lilacfield_connects_total", "connections opened to backend servers",
 	  AT(connects) },
 	{ "lilacfield_shed_total", "requests that a backend server did not run",
-	  AT(shed) },
+	  AT(not_executed) },
 	{ "lilacfield_strays_total", "answers of other requests, dropped",
 	  AT(strays) },
 	{ "lilacfield_quarantined_total",
 	  "requests refused since servers crashed under them",
 	  AT(quarantined) },
 	{ "lilacfield_words_rejected_total", "absurd words of neighbours",
-	  AT(words_rejected) },
+	  AT(updates_rejected) },
 	{ "lilacfield_lookups_total", "look-ups answered", AT(lookups) },
 	{ "lilacfield_registry_writes_total",
 	  "calls that write the node's own row or strike one",
 	  AT(registry_writes) },
 	{ "lilacfield_neighbours_asked_total", "calls to neighbours for tables",
-	  AT(asked) },
+	  AT(snapshot_requests) },
 	{ "lilacfield_neighbours_given_total",
-	  "answers with tables to neighbours", AT(given) },
+	  "answers with tables to neighbours", AT(snapshots_served) },
 	{ "lilacfield_registry_failures_total", "of these, without success",
 	  AT(registry_failures) },
 	{ "lilacfield_registry_bytes_total", "bytes of the platform's answers",
@@ -58,7 +58,7 @@
 {
 	uint32_t i;
 
-	for (i = 0; i < READ_CAUSES; i++) {
+	for (i = 0; i < READ_CAUSE_COUNT; i++) {
 		char *label =
 			g_strdup_printf("cause=\"%s\"", read_cause_name(i));
 
--- a/packages/edge/sync.c
+++ b/packages/edge/sync.c
@@ -1,22 +1,26 @@
-#include "edge/sync_parts.h"
+#include "edge/sync_internal.h"
 
 #include "core/duration.h"
 
 /*
- * A beat's word doesn't count its own way: one way of a continent's width, and
- * a queue of half of that time and a quarter of a second on a narrow link.
+ * Added to the age of a confirmation, since a heartbeat's age field doesn't
+ * count its own transit: one way across a continent, half of that time in a
+ * queue and 0.25 s on a narrow link.
  */
-#define BEAT_UNDER_WAY_US (400 * US_PER_MS)
+#define HEARTBEAT_DELAY_US (400 * US_PER_MS)
 
 /*
- * Where all nodes start for the first time, each writes its row within this,
- * for a table takes some 200 writes a second, and reads the others' rows then.
+ * At the first start of all nodes each writes its row at a random time within
+ * FIRST_ROW_JITTER_US, since a table accepts some 200 writes per second, and
+ * then reads the others' rows.
  */
-#define FIRST_ROW_SPREAD_US (1500 * US_PER_MS)
-#define FIRST_MEMBERS_US (2 * US_PER_S)
+#define FIRST_ROW_JITTER_US (1500 * US_PER_MS)
+#define FIRST_MEMBERS_DELAY_US (2 * US_PER_S)
 
-/* Written anyway after so long, where the table can't be read. */
-#define OWN_ROW_LATEST_US (1500 * US_PER_MS)
+/*
+ * Own row is written after this time even if the members' table can't be read.
+ */
+#define OWN_ROW_MAX_DELAY_US (1500 * US_PER_MS)
 
 static void follower_open(struct follower *follower, struct sync *sync,
 			  const struct follow_rule *rule)
@@ -30,25 +34,26 @@
 	follower->rows =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	lane_init(&follower->lane, edge->loop, &edge->settings.registry,
-		  rule->arrival_most_us);
+		  rule->max_transfer_us);
 	uv_timer_init(edge->loop, &follower->timer);
 	follower->timer.data = follower;
 }
 
 /*
- * The members' table comes first, for it says whom to ask for the others. Where
- * all nodes start for the first time it is empty until they have written it.
+ * The members' table is needed first: it names the peers that the other tables
+ * can be had from. At the first start of all nodes it is empty until they have
+ * written it.
  */
-static void begin_start(struct sync *sync)
+static void schedule_first_steps(struct sync *sync)
 {
 	struct edge *edge = sync->edge;
 	uint64_t members_us = 0;
-	uint64_t own_us = OWN_ROW_LATEST_US;
+	uint64_t own_us = OWN_ROW_MAX_DELAY_US;
 	uint32_t i;
 
 	if (edge->settings.first_start) {
-		members_us = FIRST_MEMBERS_US;
-		own_us = (uint64_t)(g_random_double() * FIRST_ROW_SPREAD_US);
+		members_us = FIRST_MEMBERS_DELAY_US;
+		own_us = (uint64_t)(g_random_double() * FIRST_ROW_JITTER_US);
 	}
 	sync->started_us = edge_now_us(edge) + members_us;
 	sync_write_own_row_later(sync, own_us);
@@ -64,14 +69,14 @@
 	sync->edge = edge;
 	edge->sync = sync;
 	lane_init(&sync->own_lane, edge->loop, &edge->settings.registry,
-		  SYNC_ARRIVAL_MOST_US);
-	lane_init(&sync->neighbour, edge->loop, &edge->settings.peer,
-		  SYNC_ARRIVAL_MOST_US);
+		  SYNC_MAX_TRANSFER_US);
+	lane_init(&sync->peer_lane, edge->loop, &edge->settings.peer,
+		  SYNC_MAX_TRANSFER_US);
 	uv_timer_init(edge->loop, &sync->own_timer);
 	sync->own_timer.data = sync;
 	for (i = 0; i < FOLLOWERS; i++)
 		follower_open(&sync->followers[i], sync, &follow_rules[i]);
-	begin_start(sync);
+	schedule_first_steps(sync);
 	return sync;
 }
 
@@ -87,8 +92,8 @@
 		g_free(sync->followers[i].page_key);
 	}
 	lane_close(&sync->own_lane);
-	lane_close(&sync->neighbour);
-	g_clear_pointer(&sync->given, g_bytes_unref);
+	lane_close(&sync->peer_lane);
+	g_clear_pointer(&sync->snapshot, g_bytes_unref);
 	uv_close((uv_handle_t *)&sync->own_timer, NULL);
 }
 
@@ -101,18 +106,19 @@
 			follower_step_later(&sync->followers[i], 0);
 }
 
-uint32_t sync_views(const struct sync *sync, struct sync_view *views)
+uint32_t sync_table_states(const struct sync *sync,
+			   struct sync_table_state *states)
 {
 	uint32_t i;
 
 	for (i = 0; i < FOLLOWERS; i++) {
 		const struct follower *follower = &sync->followers[i];
 
-		views[i].name = follower->rule->name;
-		views[i].version = follower->version;
-		views[i].whole = follower->whole;
-		views[i].confirmed_us = follower->confirmed_us;
-		views[i].failures = follower->failures;
+		states[i].name = follower->rule->name;
+		states[i].version = follower->version;
+		states[i].loaded = follower->loaded;
+		states[i].confirmed_us = follower->confirmed_us;
+		states[i].failures = follower->failures;
 	}
 	return FOLLOWERS;
 }
@@ -133,19 +139,21 @@
 	if (!sync)
 		return false;
 	follower = &sync->followers[REGISTRY_CONFIG];
-	return sync->edge->routes && follower->whole && !sync->routes_unread &&
-	       follower->doubted_us <= follower->confirmed_us &&
+	return sync->edge->routes && follower->loaded &&
+	       !sync->routes_unreadable &&
+	       follower->mismatched_us <= follower->confirmed_us &&
 	       !lane_is_receiving(&follower->lane) &&
-	       sync_routes_age_us(sync) + BEAT_UNDER_WAY_US <=
+	       sync_routes_age_us(sync) + HEARTBEAT_DELAY_US <=
 		       sync->edge->settings.config_within_us;
 }
 
-uint64_t sync_lapse_left_us(const struct sync *sync)
+uint64_t sync_expiry_grace_left_us(const struct sync *sync)
 {
 	uint64_t now_us = edge_now_us(sync->edge);
 
-	return sync->lapse_until_us > now_us ? sync->lapse_until_us - now_us :
-					       0;
+	return sync->expiry_grace_until_us > now_us ?
+		       sync->expiry_grace_until_us - now_us :
+		       0;
 }
 
 void sync_redirect(struct sync *sync, const struct endpoint *to)
@@ -153,15 +161,18 @@
 	uint32_t i;
 
 	for (i = 0; i < FOLLOWERS; i++)
-		lane_redirect(&sync->followers[i].lane, to);
-	lane_redirect(&sync->own_lane, to);
+		lane_set_address(&sync->followers[i].lane, to);
+	lane_set_address(&sync->own_lane, to);
 }
 
 void sync_refresh(struct sync *sync)
 {
 	uint32_t i;
 
-	/* Cut off each time, an answer that takes longer never arrives. */
+	/*
+	 * An answer that arrives goes on: aborted at each suspension, one that
+	 * takes longer than the time between two of them would never complete.
+	 */
 	for (i = 0; i < FOLLOWERS; i++)
 		if (!lane_is_receiving(&sync->followers[i].lane))
 			lane_abort(&sync->followers[i].lane, "suspended");
--- a/packages/edge/sync_plan.c
+++ b/packages/edge/sync_plan.c
@@ -1,4 +1,4 @@
-#include "edge/sync_parts.h"
+#include "edge/sync_internal.h"
 
 #include <string.h>
 
@@ -6,117 +6,119 @@
 #include "core/duration.h"
 
 /*
- * Of the time within which a change must be known: how long a call for routes
- * is held, one for backend servers, the time from one of these to the next, and
- * how long a neighbour's word is good. A call that is answered at once is
- * followed by a pause and one that is held, so the word is up to the sum of the
- * first two old. The rest is for a call of one's own, after one that failed.
+ * Percentages of sync_change_deadline_us(): the hold of a call for routes, the
+ * hold of one for backend servers, the interval between two of these, and how
+ * long a digest's confirmation is valid. A call that is answered at once is
+ * followed by a pause and a held call, so a confirmation gets as old as
+ * interval and hold together. The rest of the time is left for this node's own
+ * call, after one that failed.
  */
-#define CONFIG_WAIT_PERCENT 36
-#define WAIT_PERCENT 20
-#define SPACING_PERCENT 36
-#define WORD_PERCENT 72
-G_STATIC_ASSERT(WAIT_PERCENT + SPACING_PERCENT < WORD_PERCENT);
+#define CONFIG_HOLD_PERCENT 36
+#define HOLD_PERCENT 20
+#define INTERVAL_PERCENT 36
+#define CONFIRMATION_TTL_PERCENT 72
+G_STATIC_ASSERT(HOLD_PERCENT + INTERVAL_PERCENT < CONFIRMATION_TTL_PERCENT);
 
 /*
- * Members' rows may be known late: beats tell who lives. The word outlasts two
- * of the reader's own calls.
+ * Members' rows may be late, since heartbeats show which nodes are live. A
+ * confirmation outlasts two calls of the reader.
  */
-#define MEMBERS_SPACING_US (20 * US_PER_S)
-#define MEMBERS_WORD_US (50 * US_PER_S)
+#define MEMBERS_INTERVAL_US (20 * US_PER_S)
+#define MEMBERS_CONFIRMATION_TTL_US (50 * US_PER_S)
 
 /*
- * Between two calls because a neighbour knows otherwise: where this node is the
- * one that knows more, the neighbour has caught up by then. Members may be
- * known later than the rest, and all change theirs when all start.
+ * Minimum time between two reads because of a mismatch: where this node has the
+ * newer table, the peer has caught up by then. Members are less urgent, and all
+ * rows change when all nodes start.
  */
-#define MISMATCH_US (800 * US_PER_MS)
-#define MEMBERS_MISMATCH_US (2 * US_PER_S)
+#define MISMATCH_INTERVAL_US (800 * US_PER_MS)
+#define MEMBERS_MISMATCH_INTERVAL_US (2 * US_PER_S)
 
 /*
- * Neighbours asked for what differs before the platform is. One for routes: a
- * large document doesn't fit a neighbour's link, and must be there soon.
+ * Peers asked about a mismatch before the platform is. Only one for routes:
+ * they are urgent, and a large document doesn't fit a peer's link.
  */
-#define ASKS_MOST 8
+#define MAX_PEER_ATTEMPTS 8
 
 /*
- * An answer about backend servers: what it says grows old as it comes,
- * and a new connection may be quick where this one trickles. A page of 1 MB
- * takes 0.8 s over 10 Mbit/s, which callers' traffic may fill at the time.
+ * Longest transfer of backend rows: they get out of date as they arrive, and a
+ * new connection may be fast where this one is slow. A page of 1 MB takes 0.8 s
+ * over 10 Mbit/s, which callers' traffic may fill at the same time.
  */
-#define BACKENDS_ARRIVAL_US (5 * US_PER_S)
+#define BACKENDS_MAX_TRANSFER_US (5 * US_PER_S)
 
 /*
- * Changes that are so much larger than the whole table hold more than its
- * newest rows: it is read whole instead. Below the least size either is quick.
+ * Changes larger than this percentage of the whole table hold more than its
+ * newest rows: the table is read in full instead. Below the minimum in bytes
+ * either is fast.
  */
-#define CHANGES_MOST_PERCENT 150
-#define CHANGES_MOST_LEAST (64 * 1024)
+#define MAX_CHANGES_PERCENT 150
+#define MIN_CHANGES_LIMIT_BYTES (64 * 1024)
 
-/* A row's names and version in an answer. */
-#define ROW_OVERHEAD 200
+/* Estimate of a row's field names and version in an answer, in bytes. */
+#define ROW_OVERHEAD_BYTES 200
 
 const struct follow_rule follow_rules[FOLLOWERS] = {
 	/*
-	 * Changes are rare and must be in force soon: held calls. Until one is
-	 * answered nothing is confirmed, and a connection that fell silent
-	 * shows when it isn't: the hold and what a beat needs stay below a
-	 * neighbour's word, hold and time-out near the time within which a
-	 * change must be known.
+	 * Changes are rare and must be in force soon: held calls. Nothing is
+	 * confirmed until a held call is answered, and a broken connection
+	 * shows only by its time-out. So the hold plus a heartbeat's delay
+	 * stays below the confirmation's TTL, and the hold plus the time-out
+	 * close to the change deadline.
 	 */
 	{
 		.name = "config",
 		.table = REGISTRY_CONFIG,
-		.wait.percent = CONFIG_WAIT_PERCENT,
-		.spacing.us = 50 * US_PER_MS,
-		.word.percent = WORD_PERCENT,
-		.arrival_most_us = SYNC_ARRIVAL_MOST_US,
-		.mismatch_us = MISMATCH_US,
-		.asks_most = 1,
-		.reads_anew = true,
+		.hold.percent = CONFIG_HOLD_PERCENT,
+		.interval.us = 50 * US_PER_MS,
+		.confirmation_ttl.percent = CONFIRMATION_TTL_PERCENT,
+		.max_transfer_us = SYNC_MAX_TRANSFER_US,
+		.mismatch_interval_us = MISMATCH_INTERVAL_US,
+		.max_peer_attempts = 1,
+		.rereads_when_behind = true,
 		.apply = apply_config_row,
 		.prune = prune_config,
 	},
-	/* Held for so short that its answers tell of the path, too. */
+	/* The hold is short, so that a time-out also detects a broken path. */
 	{
 		.name = "backends",
 		.table = REGISTRY_BACKENDS,
-		.wait.percent = WAIT_PERCENT,
-		.spacing.percent = SPACING_PERCENT,
-		.word.percent = WORD_PERCENT,
-		.arrival_most_us = BACKENDS_ARRIVAL_US,
-		.mismatch_us = MISMATCH_US,
-		.asks_most = ASKS_MOST,
+		.hold.percent = HOLD_PERCENT,
+		.interval.percent = INTERVAL_PERCENT,
+		.confirmation_ttl.percent = CONFIRMATION_TTL_PERCENT,
+		.max_transfer_us = BACKENDS_MAX_TRANSFER_US,
+		.mismatch_interval_us = MISMATCH_INTERVAL_US,
+		.max_peer_attempts = MAX_PEER_ATTEMPTS,
 		.apply = apply_backend_row,
 		.prune = prune_backends,
 	},
 	{
 		.name = "members",
 		.table = REGISTRY_MEMBERS,
-		.wait.us = 15 * US_PER_S,
-		.spacing.us = MEMBERS_SPACING_US,
-		.word.us = MEMBERS_WORD_US,
-		.arrival_most_us = SYNC_ARRIVAL_MOST_US,
-		.mismatch_us = MEMBERS_MISMATCH_US,
-		.asks_most = ASKS_MOST,
+		.hold.us = 15 * US_PER_S,
+		.interval.us = MEMBERS_INTERVAL_US,
+		.confirmation_ttl.us = MEMBERS_CONFIRMATION_TTL_US,
+		.max_transfer_us = SYNC_MAX_TRANSFER_US,
+		.mismatch_interval_us = MEMBERS_MISMATCH_INTERVAL_US,
+		.max_peer_attempts = MAX_PEER_ATTEMPTS,
 		.apply = apply_member_row,
 		.prune = prune_members,
 	},
 };
 
-/* How soon what the platform says must be known here. */
-uint64_t sync_change_within_us(const struct edge *edge)
+/* Time within which a change at the platform must be in force here. */
+uint64_t sync_change_deadline_us(const struct edge *edge)
 {
 	return MIN(edge->settings.leave_within_us,
 		   edge->settings.config_within_us);
 }
 
-uint64_t follower_time_us(const struct follower *follower,
-			  const struct follow_time *time)
+uint64_t follow_time_to_us(const struct follower *follower,
+			   const struct follow_time *time)
 {
 	if (!time->percent)
 		return time->us;
-	return sync_change_within_us(follower->sync->edge) * time->percent /
+	return sync_change_deadline_us(follower->sync->edge) * time->percent /
 	       100;
 }
 
@@ -124,17 +126,17 @@
 {
 	const struct edge *edge = sync->edge;
 
-	return member_table_reads(edge->members, edge_now_us(edge));
+	return member_table_is_reader(edge->members, edge_now_us(edge));
 }
 
 uint32_t sync_own_rank(const struct sync *sync)
 {
-	if (!sync->followers[REGISTRY_MEMBERS].whole)
+	if (!sync->followers[REGISTRY_MEMBERS].loaded)
 		return READ_RANK_UNKNOWN;
-	return member_table_read_rank(sync->edge->members);
+	return member_table_reader_rank(sync->edge->members);
 }
 
-/* Nobody can tell a node which nodes there are before it has read that. */
+/* A node must read the members from the platform before it knows any peer. */
 static uint32_t read_rank(const struct follower *follower)
 {
 	if (follower->rule->table == REGISTRY_MEMBERS)
@@ -142,43 +144,46 @@
 	return sync_own_rank(follower->sync);
 }
 
-/* Whether nobody has vouched for the table for as long as a word is good. */
-static bool word_is_old(const struct follower *follower)
+/* Whether the last confirmation is older than its TTL. */
+static bool confirmation_expired(const struct follower *follower)
 {
-	uint64_t until_us = follower->confirmed_us +
-			    follower_time_us(follower, &follower->rule->word);
+	uint64_t until_us =
+		follower->confirmed_us +
+		follow_time_to_us(follower, &follower->rule->confirmation_ttl);
 
 	return until_us <= edge_now_us(follower->sync->edge);
 }
 
 /*
- * Whether its calls fail and go on. Where a neighbour's word spares them they
- * don't, and nobody would notice that the path is back.
+ * Whether its calls fail and are being retried. Where a digest confirms the
+ * table there are no calls, and the path's recovery would go unnoticed.
  */
-static bool tries_path(const struct follower *follower)
+static bool is_retrying(const struct follower *follower)
 {
-	return follower->failures && word_is_old(follower);
+	return follower->failures && confirmation_expired(follower);
 }
 
 static void fill_state(const struct follower *follower,
 		       struct read_state *state)
 {
 	const struct sync *sync = follower->sync;
-	const struct member *neighbour;
+	const struct member *peer;
 
 	state->is_reader = reads_for_region(sync);
-	state->whole = follower->whole;
+	state->loaded = follower->loaded;
 	state->rank = read_rank(follower);
-	state->has_neighbours = member_table_first_readers(sync->edge->members,
-							   &neighbour, 1) > 0;
+	state->has_peers =
+		member_table_first_readers(sync->edge->members, &peer, 1) > 0;
 	state->started_us = sync->started_us;
 	state->confirmed_us = follower->confirmed_us;
-	state->word_us = follower_time_us(follower, &follower->rule->word);
-	state->differs = follower_differs(follower);
-	state->path_fails = follower->rule->table != REGISTRY_BACKENDS &&
-			    tries_path(&sync->followers[REGISTRY_BACKENDS]);
-	state->asks = follower->asks;
-	state->asks_most = follower->rule->asks_most;
+	state->confirmation_ttl_us =
+		follow_time_to_us(follower, &follower->rule->confirmation_ttl);
+	state->version_differs = follower_has_mismatch(follower);
+	state->other_table_fails =
+		follower->rule->table != REGISTRY_BACKENDS &&
+		is_retrying(&sync->followers[REGISTRY_BACKENDS]);
+	state->peer_attempts = follower->peer_attempts;
+	state->max_peer_attempts = follower->rule->max_peer_attempts;
 }
 
 void follower_step(struct follower *follower)
@@ -189,12 +194,12 @@
 	fill_state(follower, &state);
 	read_plan(&state, edge_now_us(follower->sync->edge), &step);
 	follower->cause = step.cause;
-	if (step.from == READ_PLATFORM) {
+	if (step.source == READ_PLATFORM) {
 		follower_call(follower);
 		return;
 	}
-	if (step.from == READ_NEIGHBOUR)
-		sync_ask_neighbour(follower->sync);
+	if (step.source == READ_PEER)
+		sync_ask_peer(follower->sync);
 	follower_step_later(follower, step.wait_us);
 }
 
@@ -210,17 +215,21 @@
 }
 
 /*
- * A held call tells of a change at once. A node that has a neighbour's word
- * calls because the word differs: what there is to know is there already.
+ * How long the platform may hold a call. Only the reader holds calls, to learn
+ * of changes at once; other nodes call because of a mismatch, whose rows are at
+ * the platform already.
  */
 static uint64_t wait_us(const struct follower *follower)
 {
-	/* After a failure there is much to know, and the path to be tried. */
+	/*
+	 * After a failure changes are likely to be there, and a fast answer
+	 * tests the path.
+	 */
 	if (follower->failures)
 		return 0;
 	if (!reads_for_region(follower->sync))
 		return 0;
-	return follower_time_us(follower, &follower->rule->wait);
+	return follow_time_to_us(follower, &follower->rule->hold);
 }
 
 static uint64_t base64_bytes(uint64_t bytes)
@@ -228,27 +237,28 @@
 	return (bytes + 2) / 3 * 4;
 }
 
-/* Whether more than the latest change may have been missed. */
+/* Whether more than the latest change may be missing here. */
 static bool may_be_behind(const struct follower *follower)
 {
-	return follower_differs(follower) || word_is_old(follower);
+	return follower_has_mismatch(follower) ||
+	       confirmation_expired(follower);
 }
 
-/* How large an answer about changes may be; 0: as large as any. */
-static uint64_t changes_most(const struct follower *follower)
+/* Size limit of an answer with changes, in bytes; 0: no limit of its own. */
+static uint64_t max_changes_bytes(const struct follower *follower)
 {
 	uint64_t whole_bytes = 0;
 	GHashTableIter iter;
 	gpointer value;
 
-	if (!follower->rule->reads_anew || !follower->whole ||
+	if (!follower->rule->rereads_when_behind || !follower->loaded ||
 	    !may_be_behind(follower))
 		return 0;
 	g_hash_table_iter_init(&iter, follower->rows);
 	while (g_hash_table_iter_next(&iter, NULL, &value))
-		whole_bytes += base64_bytes(strlen(value)) + ROW_OVERHEAD;
-	return MAX(whole_bytes * CHANGES_MOST_PERCENT / 100,
-		   CHANGES_MOST_LEAST);
+		whole_bytes += base64_bytes(strlen(value)) + ROW_OVERHEAD_BYTES;
+	return MAX(whole_bytes * MAX_CHANGES_PERCENT / 100,
+		   MIN_CHANGES_LIMIT_BYTES);
 }
 
 void follower_call(struct follower *follower)
@@ -261,21 +271,21 @@
 
 	if (lane_is_busy(&follower->lane))
 		return;
-	lane_limit_body(&follower->lane, changes_most(follower));
-	if (follower->whole) {
-		registry->vtable->follow(registry, rule->table,
-					 follower->version, wait_us(follower),
-					 &call);
+	lane_limit_body(&follower->lane, max_changes_bytes(follower));
+	if (follower->loaded) {
+		registry->vtable->build_follow(registry, rule->table,
+					       follower->version,
+					       wait_us(follower), &call);
 		timeout_us += wait_us(follower);
 	} else {
-		registry->vtable->read(
+		registry->vtable->build_read(
 			registry, rule->table,
 			follower->page_key ? follower->page_key : "", &call);
 	}
 	follower->called_us = edge_now_us(edge);
-	follower->overtaken = false;
+	follower->superseded = false;
 	log_event(LOG_DEBUG, "registry-call", "table=%s whole=%s cause=%s",
-		  rule->name, follower->whole ? "yes" : "no",
+		  rule->name, follower->loaded ? "yes" : "no",
 		  read_cause_name(follower->cause));
 	stats_count_read(&edge->stats, follower->cause);
 	lane_call(&follower->lane, call.method, call.target, call.body,
--- a/packages/edge/sync_tables.c
+++ b/packages/edge/sync_tables.c
@@ -1,4 +1,4 @@
-#include "edge/sync_parts.h"
+#include "edge/sync_internal.h"
 
 #include <inttypes.h>
 #include <string.h>
@@ -18,7 +18,7 @@
 	if (row->deleted)
 		return;
 	table = registry->vtable->decode_routes(registry, row->value, &error);
-	sync->routes_unread = !table;
+	sync->routes_unreadable = !table;
 	if (!table) {
 		log_event(LOG_ERROR, "routes-invalid",
 			  "row_version=%" PRIu64 " cause=%s", row->version,
@@ -26,7 +26,7 @@
 		g_error_free(error);
 		return;
 	}
-	/* Answers can come out of order; a node never goes back. */
+	/* Answers may arrive out of order; an older version is ignored. */
 	if (edge->routes && table->version <= edge->routes->version) {
 		route_table_unref(table);
 		return;
@@ -39,7 +39,7 @@
 	edge->routes = table;
 }
 
-/* The longest time that a backend server of any service is cold. */
+/* Longest warm-up of any service's backend servers. */
 static uint64_t longest_warmup_us(const struct edge *edge)
 {
 	uint64_t longest_us = 0;
@@ -72,7 +72,8 @@
 	const struct registry *registry = sync->edge->registry;
 	char *domain = NULL;
 
-	switch (registry->vtable->config_row(registry, row->key, &domain)) {
+	switch (registry->vtable->classify_config_row(registry, row->key,
+						      &domain)) {
 	case CONFIG_ROW_ROUTES:
 		apply_routes(sync, row);
 		break;
@@ -88,7 +89,7 @@
 void prune_config(struct sync *sync, GHashTable *seen)
 {
 	const struct registry *registry = sync->edge->registry;
-	GHashTable *standing =
+	GHashTable *still_evacuated =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	GList *domains = g_hash_table_get_keys(sync->edge->backends->evacuated);
 	GHashTableIter iter;
@@ -99,19 +100,19 @@
 	while (g_hash_table_iter_next(&iter, &key, NULL)) {
 		char *domain = NULL;
 
-		if (registry->vtable->config_row(registry, key, &domain) ==
-		    CONFIG_ROW_EVACUATION)
-			g_hash_table_add(standing, domain);
+		if (registry->vtable->classify_config_row(
+			    registry, key, &domain) == CONFIG_ROW_EVACUATION)
+			g_hash_table_add(still_evacuated, domain);
 	}
 	for (at = domains; at; at = at->next) {
 		char *domain = g_strdup(at->data);
 
-		if (!g_hash_table_contains(standing, domain))
+		if (!g_hash_table_contains(still_evacuated, domain))
 			set_evacuation(sync, domain, false);
 		g_free(domain);
 	}
 	g_list_free(domains);
-	g_hash_table_destroy(standing);
+	g_hash_table_destroy(still_evacuated);
 }
 
 /* --- backend servers ---------------------------------------------------- */
@@ -122,20 +123,24 @@
 	uint64_t now_us = edge_now_us(edge);
 	const struct backend *backend = backend_table_find(edge->backends, id);
 
-	if (backend && !backend->lapsed_us && backend->version <= version)
+	if (backend && !backend->expire_us && backend->version <= version)
 		log_event(LOG_INFO, "backend-missing",
 			  "backend=%s service=%s kept_us=%" PRIu64, id,
-			  backend->service, sync_lapse_left_us(sync));
-	backend_table_remove(edge->backends, id, version, sync->lapse_until_us,
-			     now_us);
+			  backend->service, sync_expiry_grace_left_us(sync));
+	backend_table_remove(edge->backends, id, version,
+			     sync->expiry_grace_until_us, now_us);
 }
 
-/* The first list is one line of the log, not one for each server. */
-static bool is_news(const struct edge *edge, const struct backend *known,
-		    const struct backend_record *record)
+/*
+ * Whether a row is logged: the first full read is one log line, not one per
+ * server.
+ */
+static bool is_logged_change(const struct edge *edge,
+			     const struct backend *known,
+			     const struct backend_record *record)
 {
 	if (!known)
-		return edge->backends->whole;
+		return edge->backends->loaded;
 	return known->draining != record->draining ||
 	       known->started_ms != record->started_ms ||
 	       (record->cold_left_us &&
@@ -148,7 +153,7 @@
 	struct edge *edge = sync->edge;
 	const struct backend *known =
 		backend_table_find(edge->backends, row->key);
-	const struct backend_facts facts = {
+	const struct backend_info facts = {
 		.id = row->key,
 		.service = record->service,
 		.address = record->address,
@@ -163,7 +168,7 @@
 
 	if (backend_table_knows_newer(edge->backends, &facts))
 		return;
-	if (is_news(edge, known, record))
+	if (is_logged_change(edge, known, record))
 		log_event(LOG_INFO, "backend",
 			  "backend=%s service=%s address=%s:%u domain=%s "
 			  "slots=%u draining=%s cold_left_us=%" PRIu64
@@ -176,9 +181,9 @@
 }
 
 /*
- * Its entry can't be read: another writer's, or spoiled. It names no server to
- * use, and nothing tells that the one known by this id is still there. Requests
- * that run there go on; its own next entry brings it back.
+ * The entry can't be decoded, written by another writer or damaged: it names no
+ * usable server, and whether the server known by this id still exists is
+ * unknown. Requests that run there go on; its next valid entry restores it.
  */
 static void drop_backend(struct sync *sync, const char *id, uint64_t version)
 {
@@ -216,7 +221,7 @@
 	GList *ids = g_hash_table_get_keys(edge->backends->by_id);
 	GList *at;
 
-	edge->backends->whole = true;
+	edge->backends->loaded = true;
 	for (at = ids; at; at = at->next) {
 		char *id = g_strdup(at->data);
 
@@ -244,7 +249,7 @@
 	member->peer = record->peer;
 	member->link_mbps = record->link_mbps;
 	if (is_new)
-		member->known_us = edge_now_us(edge);
+		member->listed_us = edge_now_us(edge);
 	if (is_new)
 		log_event(LOG_INFO, "member", "member=%s domain=%s", name,
 			  record->domain);
@@ -255,7 +260,10 @@
 	return a->port == b->port && !strcmp(a->address, b->address);
 }
 
-/* A row that a life of this node before wrote may still say what it should. */
+/*
+ * Whether the row has this node's present settings; an earlier process of this
+ * node may have written it.
+ */
 static bool is_own_row(const struct edge *edge, const char *value)
 {
 	const struct edge_settings *settings = &edge->settings;
@@ -274,11 +282,12 @@
 	return same;
 }
 
-static void take_own_row(struct sync *sync, const struct registry_row *row)
+static void apply_own_row(struct sync *sync, const struct registry_row *row)
 {
-	bool known = sync->followers[REGISTRY_MEMBERS].whole;
+	bool known = sync->followers[REGISTRY_MEMBERS].loaded;
 
-	sync->own_listed = !row->deleted && is_own_row(sync->edge, row->value);
+	sync->own_row_current = !row->deleted &&
+				is_own_row(sync->edge, row->value);
 	if (known && !sync->edge->stopping)
 		sync_write_own_row(sync);
 }
@@ -291,7 +300,7 @@
 	GError *error = NULL;
 
 	if (!strcmp(row->key, edge->settings.name)) {
-		take_own_row(sync, row);
+		apply_own_row(sync, row);
 		return;
 	}
 	if (row->deleted) {
--- a/tests/edge/crash_test.cc
+++ b/tests/edge/crash_test.cc
@@ -1,4 +1,4 @@
-/* Requests that crash the backend servers that run them. */
+/* Requests that crash the backend servers running them. */
 #include <cinttypes>
 #include <cstring>
 
@@ -20,7 +20,7 @@
 			app_stand_set_deadly(app.stand, "/r/deadly");
 		}
 	}
-	int ended() const
+	int count_crashed() const
 	{
 		int count = 0;
 
@@ -31,42 +31,43 @@
 };
 
 /*
- * Users saw one service's servers crash one after another, 25 of them in 16 s,
- * its callers served late or not at all, and the rest of the system well. A
- * caller brought one request again and again, each time under a new id; a node
- * sent it to as many servers as its route allows, each time, since nothing
- * connected two tries that differ by their id. Evidence: the nodes' logs name
- * one method, path and body, by its fingerprint, at each server that ended.
+ * Guards against one request crashing a service's servers one after another (25
+ * in 16 s). A caller repeated it under a new id each time, and each time the
+ * node sent it to as many servers as the route allows, since a new id made it
+ * another request; its fingerprint (method, path, body) is the same each time.
  */
-TEST_F(CrashTest, ARequestThatComesAgainCrashesThreeServersAtMost)
+TEST_F(CrashTest, RepeatedRequestCrashesAtMostThreeServers)
 {
 	add_apps(10);
 	start_node();
 	for (int i = 0; i < 10; i++)
 		answer_to(get("again-" + std::to_string(i), "/r/deadly"));
-	EXPECT_GE(3, ended());
+	EXPECT_GE(3, count_crashed());
 }
 
-struct again_case {
+struct repeated_case {
 	const char *name;
 	const char *path;
-	int status; /* at the first try */
+	int status; /* of the first try */
 };
 
-const again_case again_cases[] = {
+const repeated_case repeated_cases[] = {
 	{ "Idempotent", "/r/deadly", 502 },
 	{ "Once", "/o/deadly", 502 },
 };
 
-class AgainTest : public CrashTest,
-		  public ::testing::WithParamInterface<again_case>
+class RepeatedRequestTest : public CrashTest,
+			    public ::testing::WithParamInterface<repeated_case>
 {
 };
 
-/* Guards against callers of a quarantined request waiting, or hammering. */
-TEST_P(AgainTest, IsRefusedAtOnceAsNotRun)
+/*
+ * Guards against callers of a quarantined request waiting for an answer, or
+ * repeating it without a pause.
+ */
+TEST_P(RepeatedRequestTest, IsRefusedAtOnceAsNotRun)
 {
-	const again_case &c = GetParam();
+	const repeated_case &c = GetParam();
 
 	for (int i = 1; i <= 8; i++)
 		app_stand_set_deadly(add_app("i-" + std::to_string(i)).stand,
@@ -77,7 +78,7 @@
 		answer_to(get("again-" + std::to_string(i), c.path));
 	std::string answer = answer_to(get("last", c.path));
 
-	EXPECT_EQ(3, ended());
+	EXPECT_EQ(3, count_crashed());
 	EXPECT_EQ(503, status_of(answer)) << answer;
 	EXPECT_NE(std::string::npos, answer.find("Retry-After: 60.000\r\n"));
 	for (const App &app : apps)
@@ -85,16 +86,20 @@
 	EXPECT_EQ(200, status_of(answer_to(get("other", "/r/other"))));
 }
 
-INSTANTIATE_TEST_SUITE_P(Cases, AgainTest, ::testing::ValuesIn(again_cases),
+INSTANTIATE_TEST_SUITE_P(Cases, RepeatedRequestTest,
+			 ::testing::ValuesIn(repeated_cases),
 			 [](const auto &info) { return info.param.name; });
 
-/* Guards against a suspect being held until its deadline by its claim. */
-TEST_F(CrashTest, ASuspectWithoutTimeForItsClaimIsRefusedAtOnce)
+/*
+ * Guards against a suspect waiting for its claim until its deadline, where
+ * there isn't enough time for the claim.
+ */
+TEST_F(CrashTest, SuspectWithoutTimeForAClaimIsRefusedAtOnce)
 {
 	add_apps(6);
 	start_node();
 	answer_to(get("first", "/r/deadly"));
-	ASSERT_EQ(2, ended());
+	ASSERT_EQ(2, count_crashed());
 	uint64_t began_us = edge_now_us(edge);
 	std::string answer =
 		answer_to("GET /r/deadly HTTP/1.1\r\nHost: h.example\r\n"
@@ -103,11 +108,11 @@
 
 	EXPECT_EQ(503, status_of(answer)) << answer;
 	EXPECT_GT(100 * US_PER_MS, edge_now_us(edge) - began_us);
-	EXPECT_EQ(2, ended());
+	EXPECT_EQ(2, count_crashed());
 }
 
-/* Guards against those that shared a server with it losing their answers. */
-TEST_F(CrashTest, RequestsBesideItAreServed)
+/* Guards against requests that share a server with a suspect being lost. */
+TEST_F(CrashTest, RequestsOnTheSameServersAreServed)
 {
 	std::vector<std::unique_ptr<RawCaller>> callers;
 
@@ -122,10 +127,10 @@
 		wait_for([&] { return is_whole(*caller); });
 		EXPECT_EQ(200, status_of(caller->got)) << caller->got;
 	}
-	EXPECT_EQ(3, ended());
+	EXPECT_EQ(3, count_crashed());
 }
 
-/* Guards against one reset connection passing for a server's end. */
+/* Guards against one reset connection being taken for a crash. */
 TEST_F(CrashTest, AResetOfTheOnlyConnectionMakesNoSuspect)
 {
 	App &app = add_app("i-1");
@@ -133,13 +138,13 @@
 	app_stand_set_fault(app.stand, APP_CRASH);
 	start_node();
 	answer_to(get("a1", "/o/x"));
-	turn_for(50);
+	run_for(50);
 	EXPECT_EQ(0u, edge->suspects->count);
 	EXPECT_FALSE(crash_watch_is_busy(edge->crashes));
 }
 
-/* Guards against what ran in a failure domain that lost power. */
-TEST_F(CrashTest, ADomainThatEndsMakesNoSuspects)
+/* Guards against suspects from a power loss of a whole failure domain. */
+TEST_F(CrashTest, DomainOutageMakesNoSuspects)
 {
 	std::vector<std::unique_ptr<RawCaller>> callers;
 
@@ -169,8 +174,8 @@
 	EXPECT_EQ(0u, edge->suspects->count);
 }
 
-/* Guards against broken connections of servers that live quarantining. */
-TEST_F(CrashTest, ServersThatBreakOffAndLiveQuarantineNothing)
+/* Guards against quarantines from broken connections of live servers. */
+TEST_F(CrashTest, BrokenConnectionsOfLiveServersQuarantineNothing)
 {
 	add_app("i-1");
 	add_app("i-2");
@@ -187,11 +192,11 @@
 	EXPECT_EQ(200, status_of(answer_to(get("last", "/r/x"))));
 }
 
-/* Guards against the death of all nodes freeing what they had quarantined. */
-class KeepTest : public CrashTest
+/* Guards against quarantines being lost when all nodes restart. */
+class CrashStoreTest : public CrashTest
 {
       protected:
-	void start_keeping()
+	void start_with_store()
 	{
 		start_node();
 		quarantines = quarantine_store_open(edge);
@@ -206,7 +211,7 @@
 	}
 	std::string key(const char *path)
 	{
-		const struct fingerprint_parts parts = { "GET",	  "h.example",
+		const struct fingerprint_input parts = { "GET",	  "h.example",
 							 path,	  nullptr,
 							 nullptr, 0 };
 		char text[17];
@@ -226,21 +231,24 @@
 	struct quarantine_store *quarantines = nullptr;
 };
 
-TEST_F(KeepTest, AQuarantineIsWrittenToTheStore)
+TEST_F(CrashStoreTest, AQuarantineIsWrittenToTheStore)
 {
 	add_apps(6);
-	start_keeping();
+	start_with_store();
 	for (int i = 0; i < 3; i++)
 		answer_to(get("again-" + std::to_string(i), "/r/deadly"));
 	wait_for([this] { return row("/r/deadly"); });
 	EXPECT_NE(nullptr, strstr(row("/r/deadly"), "GET /r/deadly"));
 }
 
-/* Guards against the row of one that another explains outliving all nodes. */
-TEST_F(KeepTest, ARowGoesWithItsQuarantine)
+/*
+ * Guards against the row of a request staying in the store after its crashes
+ * have been attributed to another request.
+ */
+TEST_F(CrashStoreTest, RowIsDeletedWithItsQuarantine)
 {
 	add_apps(6);
-	start_keeping();
+	start_with_store();
 	for (int i = 0; i < 3; i++)
 		answer_to(get("again-" + std::to_string(i), "/r/deadly"));
 	wait_for([this] { return row("/r/deadly"); });
@@ -248,12 +256,12 @@
 		edge->suspects,
 		g_ascii_strtoull(key("/r/deadly").c_str(), nullptr, 16));
 
-	quarantine_store_review(quarantines);
+	quarantine_store_remove_lifted(quarantines);
 	EXPECT_NE(nullptr, row("/r/deadly"));
 	for (uint32_t i = 0; i < known.crash_count; i++)
-		suspect_crashed(edge->suspects, 7, edge->backends,
-				&known.crashes[i], "GET /r/other");
-	quarantine_store_review(quarantines);
+		suspect_add_own_crash(edge->suspects, 7, edge->backends,
+				      &known.crashes[i], "GET /r/other");
+	quarantine_store_remove_lifted(quarantines);
 	wait_for([this] { return !row("/r/deadly"); });
 }
 
@@ -288,26 +296,28 @@
 	  200 },
 };
 
-class RowTest : public KeepTest, public ::testing::WithParamInterface<row_case>
+class CrashStoreRowTest : public CrashStoreTest,
+			  public ::testing::WithParamInterface<row_case>
 {
 };
 
-TEST_P(RowTest, IsReadAfterAStart)
+TEST_P(CrashStoreRowTest, IsReadAfterAStart)
 {
 	put_row("/r/x", GetParam().value);
 	add_app("i-1");
-	start_keeping();
+	start_with_store();
 	uint64_t calls = store_stand_calls(store);
-	turn_for(400);
+	run_for(400);
 	EXPECT_LT(calls, store_stand_calls(store));
 	EXPECT_EQ(GetParam().status, status_of(answer_to(get("a1", "/r/x"))));
 }
 
-INSTANTIATE_TEST_SUITE_P(Cases, RowTest, ::testing::ValuesIn(row_cases),
+INSTANTIATE_TEST_SUITE_P(Cases, CrashStoreRowTest,
+			 ::testing::ValuesIn(row_cases),
 			 [](const auto &info) { return info.param.name; });
 
-/* Guards against rows beyond the first answer's 500 never being read. */
-TEST_F(KeepTest, AllPagesOfRowsAreRead)
+/* Guards against rows after the store's first page of 500 not being read. */
+TEST_F(CrashStoreTest, AllPagesOfRowsAreRead)
 {
 	for (int i = 0; i < 600; i++)
 		store_stand_put(
@@ -316,25 +326,25 @@
 			"{}");
 	put_row("/r/x", row_cases[0].value);
 	add_app("i-1");
-	start_keeping();
+	start_with_store();
 	wait_for([this] { return !quarantine_store_is_reading(quarantines); });
 	EXPECT_EQ(503, status_of(answer_to(get("a1", "/r/x"))));
 	EXPECT_EQ(0u, app_stand_total_runs(apps[0].stand));
 }
 
-/* Guards against rows of quarantines that ended staying for ever. */
-TEST_F(KeepTest, ARowThatIsLongOverIsRemoved)
+/* Guards against rows of expired quarantines never being deleted. */
+TEST_F(CrashStoreTest, ExpiredRowIsRemoved)
 {
 	put_row("/r/x", "{\"rounds\":1,\"left_ms\":300000,\"written_ms\":1000,"
 			"\"by_hand\":true,\"lives\":[],\"request\":\"\"}");
 	add_app("i-1");
-	start_keeping();
+	start_with_store();
 	wait_for([this] { return !row("/r/x"); });
 	EXPECT_EQ(200, status_of(answer_to(get("a1", "/r/x"))));
 }
 
-/* Guards against a start that sends before it has read what is quarantined. */
-TEST_F(KeepTest, NothingIsSentBeforeTheRowsAreRead)
+/* Guards against a node sending requests before it has read the quarantines. */
+TEST_F(CrashStoreTest, NothingIsSentBeforeTheRowsAreRead)
 {
 	struct store_faults faults = {};
 
@@ -352,39 +362,39 @@
 	EXPECT_EQ(200, status_of(answer_to(get("a3", "/r/y"))));
 }
 
-/* Guards against a release that comes while the row is being written. */
-TEST_F(KeepTest, ARowThatChangesMeanwhileIsWrittenAgain)
+/* Guards against a release being lost that comes during the row's write. */
+TEST_F(CrashStoreTest, RowThatChangesDuringAWriteIsWrittenAgain)
 {
 	struct store_faults faults = {};
 
 	add_app("i-1");
-	start_keeping();
-	turn_for(300);
+	start_with_store();
+	run_for(300);
 	faults.slow_us = 200 * US_PER_MS;
 	store_stand_set_faults(store, &faults);
 	ASSERT_TRUE(suspect_quarantine(edge->suspects, 7, edge_now_us(edge)));
-	quarantine_store_keep(quarantines, 7);
-	turn_for(50);
+	quarantine_store_write(quarantines, 7);
+	run_for(50);
 	ASSERT_TRUE(suspect_release(edge->suspects, 7, edge_now_us(edge)));
-	quarantine_store_keep(quarantines, 7);
-	turn_for(800);
+	quarantine_store_write(quarantines, 7);
+	run_for(800);
 	EXPECT_EQ(nullptr,
 		  store_stand_get(store, "quarantines", "0000000000000007"));
 }
 
-/* Guards against a store that is away losing what was to be kept. */
-TEST_F(KeepTest, ARowIsWrittenWhenTheStoreIsBack)
+/* Guards against quarantines being lost that begin while the store is down. */
+TEST_F(CrashStoreTest, RowIsWrittenWhenTheStoreIsBack)
 {
 	struct store_faults faults = {};
 
 	add_apps(6);
-	start_keeping();
-	turn_for(300);
+	start_with_store();
+	run_for(300);
 	faults.refuse_status = 503;
 	store_stand_set_faults(store, &faults);
 	for (int i = 0; i < 3; i++)
 		answer_to(get("again-" + std::to_string(i), "/r/deadly"));
-	turn_for(200);
+	run_for(200);
 	EXPECT_EQ(nullptr, row("/r/deadly"));
 	faults.refuse_status = 0;
 	store_stand_set_faults(store, &faults);
--- a/tests/edge/edge_world.h
+++ b/tests/edge/edge_world.h
@@ -1,8 +1,9 @@
 /*
- * edge_world - a node, the platform's store and backend servers on one loop
+ * edge_world - a node, the platform's store and backend servers on one event
+ * loop, in this process
  *
- * Everything but the sockets is in this process, and the loop turns only while
- * a test waits for something, so a test sees each state that it asks for.
+ * The loop runs only while a test waits for something, so nothing changes
+ * between a test's statements.
  */
 #ifndef TESTS_EDGE_WORLD_H
 #define TESTS_EDGE_WORLD_H
@@ -30,7 +31,7 @@
 #include "standins/app_stand.h"
 #include "standins/store_stand.h"
 
-/* A caller that writes bytes and keeps what comes back. */
+/* A caller that writes bytes and stores the answer's bytes. */
 class RawCaller
 {
       public:
@@ -67,7 +68,7 @@
 		uv_close((uv_handle_t *)&client_->tcp, on_closed);
 		client_ = nullptr;
 	}
-	/* Leave what comes in the kernel's buffers, as a slow caller does. */
+	/* Stop reading from the socket, as a slow caller does. */
 	void pause()
 	{
 		uv_read_stop((uv_stream_t *)&client_->tcp);
@@ -79,7 +80,7 @@
 	std::string got;
 	bool connected = false;
 	bool ended = false;
-	bool broken = false; /* a write met a reset */
+	bool broken = false; /* a write failed: the connection was reset */
 
       private:
 	struct Client {
@@ -169,7 +170,7 @@
 	{
 		struct endpoint any = endpoint_at(0);
 
-		/* As in the program: a write to a reset connection fails. */
+		/* As in the program: such writes return an error instead. */
 		signal(SIGPIPE, SIG_IGN);
 		ASSERT_TRUE(log_open("n1", "/dev/null", LOG_DEBUG, nullptr));
 		metrics_open();
@@ -185,8 +186,8 @@
 				app_stand_close(app.stand);
 		if (store)
 			store_stand_close(store);
-		if (turning_)
-			uv_close((uv_handle_t *)&turner_, nullptr);
+		if (wakeup_timer_runs_)
+			uv_close((uv_handle_t *)&wakeup_timer_, nullptr);
 		uv_run(&loop, UV_RUN_DEFAULT);
 		uv_loop_close(&loop);
 		g_free(sync);
@@ -197,22 +198,22 @@
 		metrics_close();
 	}
 
-	/* Turn the loop until the condition holds; fails after 20 s. */
+	/* Run the loop until the condition holds; fails after 20 s. */
 	void wait_for(const std::function<bool()> &condition,
 		      const char *what = "condition")
 	{
 		uint64_t end_ns = uv_hrtime() + 20ull * 1000000000;
 
-		keep_turning();
+		start_wakeup_timer();
 		while (!condition() && uv_hrtime() < end_ns)
 			uv_run(&loop, UV_RUN_ONCE);
 		EXPECT_TRUE(condition()) << what;
 	}
-	void turn_for(uint64_t ms)
+	void run_for(uint64_t ms)
 	{
 		uint64_t end_ns = uv_hrtime() + ms * 1000000;
 
-		keep_turning();
+		start_wakeup_timer();
 		while (uv_hrtime() < end_ns)
 			uv_run(&loop, UV_RUN_ONCE);
 	}
@@ -227,7 +228,7 @@
 		return endpoint;
 	}
 
-	/* What the operator writes; times in ms. */
+	/* Values in the configuration that put_routes() writes. */
 	std::string timeout = "2000ms";
 	std::string idle_timeout = "15000ms";
 	std::string max_header_bytes = "16384";
@@ -264,10 +265,10 @@
 		store_stand_put(store, "op", "config", text.c_str());
 	}
 
-	uint32_t answer_bytes = 0; /* least size of backend servers' answers */
+	uint32_t answer_bytes = 0; /* minimum size of servers' answers */
 
-	/* For extra_routes: /n0/, /n1/ and so on. */
-	static std::string routes_named_n(int count)
+	/* Routes for extra_routes, with the prefixes /n0/, /n1/ ... */
+	static std::string numbered_routes(int count)
 	{
 		std::string text;
 
@@ -284,7 +285,7 @@
 		return text;
 	}
 
-	/* Start a backend server and list it. */
+	/* Start a backend server and write its row into the store. */
 	App &add_app(const std::string &id, uint64_t work_ms = 20,
 		     const std::string &service = "s",
 		     const std::string &domain = "d1", uint32_t slots = 4)
@@ -332,14 +333,14 @@
 		g_strlcpy(settings.region, "r1", sizeof(settings.region));
 		settings.registry = *store_stand_at(store);
 		settings.front = endpoint_at(1);
-		settings.extra = { 0.2, 50, 10000000 };
-		settings.nodes_least = 1;
+		settings.extra_requests = { 0.2, 50, 10000000 };
+		settings.min_nodes_assumed = 1;
 		settings.link_mbps = 10;
 		settings.leave_within_us = 2500000;
 		settings.config_within_us = 2500000;
 		settings.lookup_keep_us = 1000000;
-		settings.forget_us = 600 * 1000000ull;
-		settings.stop_most_us = 6000000;
+		settings.member_expiry_us = 600 * 1000000ull;
+		settings.max_stop_us = 6000000;
 		settings.regions = g_hash_table_new_full(
 			g_str_hash, g_str_equal, g_free, g_free);
 		for (const char *domain : { "d1", "d2" })
@@ -352,8 +353,8 @@
 		stats_init(&edge->stats);
 		ASSERT_TRUE(listener_open(&front, edge, LISTENER_FRONT, &any,
 					  &error));
-		ASSERT_TRUE(listener_open(&ready, edge, LISTENER_READY, &any,
-					  &error));
+		ASSERT_TRUE(listener_open(&ready, edge, LISTENER_READINESS,
+					  &any, &error));
 		ASSERT_TRUE(listener_open(&lookup, edge, LISTENER_LOOKUP, &any,
 					  &error));
 		ASSERT_TRUE(listener_open(&peers, edge, LISTENER_PEERS, &any,
@@ -369,7 +370,7 @@
 				 "the node is ready");
 	}
 
-	/* A neighbour that reads the tables for the region. */
+	/* Add a peer that is the region's reader of the platform's tables. */
 	void add_reader()
 	{
 		struct member *reader =
@@ -407,7 +408,7 @@
 		       id + "\r\nLilacfield-Affinity-Key: 7\r\n" + more +
 		       "\r\n";
 	}
-	/* Send, wait for the whole answer, and return it. */
+	/* Send, wait for the complete answer, and return it. */
 	std::string answer_to(const std::string &bytes)
 	{
 		auto caller = call(bytes);
@@ -468,7 +469,7 @@
 	struct sync *sync = nullptr;
 	struct crash_watch *crashes = nullptr;
 	struct gossip *gossip = nullptr;
-	std::deque<App> apps; /* references to them stay good */
+	std::deque<App> apps; /* a deque: references stay valid */
 	bool node_runs = false;
 
       private:
@@ -480,16 +481,16 @@
 		callers_sweep(edge);
 		pool_sweep(&edge->pool, edge->backends);
 	}
-	/* A timer of our own, so that a turn of the loop always ends. */
-	void keep_turning()
+	/* Wakes the loop every 5 ms, so that UV_RUN_ONCE returns. */
+	void start_wakeup_timer()
 	{
-		if (turning_)
+		if (wakeup_timer_runs_)
 			return;
-		turning_ = true;
-		uv_timer_init(&loop, &turner_);
+		wakeup_timer_runs_ = true;
+		uv_timer_init(&loop, &wakeup_timer_);
 		uv_timer_start(
-			&turner_, [](uv_timer_t *) {}, 5, 5);
-		uv_unref((uv_handle_t *)&turner_);
+			&wakeup_timer_, [](uv_timer_t *) {}, 5, 5);
+		uv_unref((uv_handle_t *)&wakeup_timer_);
 	}
 	void release_edge()
 	{
@@ -498,8 +499,8 @@
 		delete edge;
 	}
 	uv_timer_t sweeper;
-	uv_timer_t turner_;
-	bool turning_ = false;
+	uv_timer_t wakeup_timer_;
+	bool wakeup_timer_runs_ = false;
 };
 
 #endif
--- a/tests/edge/lane_test.cc
+++ b/tests/edge/lane_test.cc
@@ -1,4 +1,4 @@
-/* Calls on a lane, against a server whose answers come as a test says. */
+/* Calls on a lane to a server whose answers arrive slowly. */
 #include "edge/lane.h"
 
 #include "edge/large_document.h"
@@ -7,9 +7,10 @@
 {
 
 /*
- * An answer trickles, a few bytes at a time: it is never silent and would never
- * be whole. The lane's owner waited for it for good, while a call on a new
- * connection would have been answered at once.
+ * An answer arrives a few bytes at a time: the receive timeout never expires,
+ * and the answer is never complete. Without a maximum transfer time the lane's
+ * owner waited for ever, while a call on a new connection would have been
+ * answered at once.
  */
 class LaneTest : public LargeDocumentTest
 {
@@ -20,54 +21,57 @@
 		auto *test = (LaneTest *)context;
 
 		test->done = true;
-		test->whole = answer != nullptr;
+		test->complete = answer != nullptr;
 		test->cause = cause ? cause : "";
 	}
 	bool done = false;
-	bool whole = false;
+	bool complete = false;
 	std::string cause;
 };
 
-struct arrival_case {
+struct transfer_case {
 	const char *name;
-	uint64_t most_ms; /* that an answer may arrive */
-	bool whole; /* one that takes 2.5 s */
+	uint64_t max_transfer_ms; /* maximum transfer time */
+	bool complete; /* whether an answer that takes 2.5 s is delivered */
 };
 
-const arrival_case arrival_cases[] = {
-	{ "InItsTime", 4000, true },
-	{ "Trickles", 1500, false },
+const transfer_case transfer_cases[] = {
+	{ "WithinTheLimit", 4000, true },
+	{ "TooSlow", 1500, false },
 };
 
-class ArrivalTest : public LaneTest,
-		    public ::testing::WithParamInterface<arrival_case>
+class LaneTransferTest : public LaneTest,
+			 public ::testing::WithParamInterface<transfer_case>
 {
 };
 
-TEST_P(ArrivalTest, EndsByItsTime)
+TEST_P(LaneTransferTest, EndsByItsDeadline)
 {
-	const arrival_case &c = GetParam();
+	const transfer_case &c = GetParam();
 	struct lane lane;
 	uint64_t begun_ns;
 
 	put_large(2);
 	narrow_link();
-	lane_init(&lane, &loop, store_stand_at(store), c.most_ms * 1000);
+	lane_init(&lane, &loop, store_stand_at(store),
+		  c.max_transfer_ms * 1000);
 	begun_ns = uv_hrtime();
 	lane_call(&lane, "GET", "/api/rows-get?table=op&part=&limit=500",
 		  nullptr, 1000000, on_done, this);
 	wait_for([this] { return done; });
-	EXPECT_EQ(c.whole, whole);
-	if (!c.whole) {
+	EXPECT_EQ(c.complete, complete);
+	if (!c.complete) {
 		EXPECT_EQ("timeout", cause);
-		EXPECT_LT((uv_hrtime() - begun_ns) / 1000000, c.most_ms + 500);
+		EXPECT_LT((uv_hrtime() - begun_ns) / 1000000,
+			  c.max_transfer_ms + 500);
 		EXPECT_GT(lane.got_bytes, 0u);
 	}
 	lane_close(&lane);
-	turn_for(20);
+	run_for(20);
 }
 
-INSTANTIATE_TEST_SUITE_P(Cases, ArrivalTest, ::testing::ValuesIn(arrival_cases),
+INSTANTIATE_TEST_SUITE_P(Cases, LaneTransferTest,
+			 ::testing::ValuesIn(transfer_cases),
 			 [](const auto &info) { return info.param.name; });
 
 } // namespace
--- a/tests/edge/message_test.cc
+++ b/tests/edge/message_test.cc
@@ -1,4 +1,4 @@
-/* The reader of requests and answers, however their bytes arrive. */
+/* Reading of requests and answers whose bytes arrive in any pieces. */
 #include <gtest/gtest.h>
 
 #include <random>
@@ -15,9 +15,10 @@
 struct read_result {
 	enum message_state state;
 	size_t used;
-	std::string text; /* status or target, headers, body */
+	std::string text; /* as describe() formats it */
 };
 
+/* TARGET|STATUS|HEADERS|BODY, then |open and |keep where they apply. */
 std::string describe(const struct message *message)
 {
 	GString *headers = g_string_new(nullptr);
@@ -34,7 +35,7 @@
 	return text;
 }
 
-/* Feed the bytes in pieces; the end of the connection follows if asked. */
+/* Feed the bytes in pieces, cut at cuts; ends: then the connection's end. */
 read_result read_in(enum http_parser_type type, const std::string &bytes,
 		    const std::vector<size_t> &cuts, bool ends,
 		    bool no_body = false)
@@ -61,7 +62,7 @@
 
 		result.state = message_reader_feed(&reader, nullptr, 0, &used);
 	}
-	if (result.state == MESSAGE_WHOLE)
+	if (result.state == MESSAGE_COMPLETE)
 		result.text = describe(reader.message);
 	message_reader_release(&reader);
 	return result;
@@ -78,18 +79,18 @@
 
 const std::vector<message_case> cases = {
 	{ "Get", HTTP_REQUEST, "GET /a?b HTTP/1.1\r\nHost: h\r\nA: 1\r\n\r\n",
-	  false, MESSAGE_WHOLE, "/a?b|0|Host: h\r\nA: 1\r\n||keep" },
+	  false, MESSAGE_COMPLETE, "/a?b|0|Host: h\r\nA: 1\r\n||keep" },
 	{ "Post", HTTP_REQUEST,
 	  "POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc", false,
-	  MESSAGE_WHOLE, "/a|0|Host: h\r\n|abc|keep" },
+	  MESSAGE_COMPLETE, "/a|0|Host: h\r\n|abc|keep" },
 	{ "Chunks", HTTP_REQUEST,
 	  "POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
 	  "2\r\nab\r\n1\r\nc\r\n0\r\n\r\n",
-	  false, MESSAGE_WHOLE, "/a|0|Host: h\r\n|abc|keep" },
+	  false, MESSAGE_COMPLETE, "/a|0|Host: h\r\n|abc|keep" },
 	{ "HopHeadersGo", HTTP_REQUEST,
 	  "GET / HTTP/1.1\r\nHost: h\r\nConnection: X-One, close\r\n"
 	  "X-One: 1\r\nX-Two: 2\r\nTE: x\r\n\r\n",
-	  false, MESSAGE_WHOLE, "/|0|Host: h\r\nX-Two: 2\r\n|" },
+	  false, MESSAGE_COMPLETE, "/|0|Host: h\r\nX-Two: 2\r\n|" },
 	{ "HalfAHead", HTTP_REQUEST, "GET / HTTP/1.1\r\nHost:", false,
 	  MESSAGE_PARTIAL, "" },
 	{ "HeadTooLarge", HTTP_REQUEST,
@@ -106,9 +107,9 @@
 	  "" },
 	{ "Length", HTTP_RESPONSE,
 	  "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab", false,
-	  MESSAGE_WHOLE, "|200||ab|keep" },
+	  MESSAGE_COMPLETE, "|200||ab|keep" },
 	{ "UntilClose", HTTP_RESPONSE, "HTTP/1.1 200 OK\r\nA: 1\r\n\r\nab",
-	  true, MESSAGE_WHOLE, "|200|A: 1\r\n|ab|open" },
+	  true, MESSAGE_COMPLETE, "|200|A: 1\r\n|ab|open" },
 	{ "UntilCloseOpen", HTTP_RESPONSE, "HTTP/1.1 200 OK\r\n\r\nab", false,
 	  MESSAGE_PARTIAL, "" },
 	{ "LengthCut", HTTP_RESPONSE,
@@ -119,13 +120,13 @@
 	  MESSAGE_MALFORMED, "" },
 	{ "Interim", HTTP_RESPONSE,
 	  "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n", false,
-	  MESSAGE_WHOLE, "|204|||keep" },
+	  MESSAGE_COMPLETE, "|204|||keep" },
 	{ "NotModified", HTTP_RESPONSE,
 	  "HTTP/1.1 304 Not Modified\r\nContent-Length: 9\r\n\r\n", false,
-	  MESSAGE_WHOLE, "|304|||keep" },
+	  MESSAGE_COMPLETE, "|304|||keep" },
 };
 
-TEST(MessageTest, IsReadAlikeHoweverItsBytesArrive)
+TEST(MessageTest, ResultDoesNotDependOnHowBytesArrive)
 {
 	std::mt19937 random(7);
 
@@ -155,11 +156,11 @@
 	}
 }
 
-/* What follows a message isn't its own: the caller's next request, say. */
+/* Guards against consuming bytes of the next message. */
 TEST(MessageTest, StopsAtItsEnd)
 {
 	for (const message_case &c : cases) {
-		if (c.state != MESSAGE_WHOLE || c.ends)
+		if (c.state != MESSAGE_COMPLETE || c.ends)
 			continue;
 		read_result result = read_in(
 			c.type, c.bytes + "GET /next HTTP/1.1\r\n", {}, false);
@@ -168,19 +169,19 @@
 	}
 }
 
-TEST(MessageTest, AHeadsAnswerHasNoBody)
+TEST(MessageTest, AnswerToHeadHasNoBody)
 {
 	read_result result =
 		read_in(HTTP_RESPONSE,
 			"HTTP/1.1 200 OK\r\nContent-Length: 50\r\nA: 1\r\n\r\n",
 			{}, false, true);
 
-	EXPECT_EQ(MESSAGE_WHOLE, result.state);
+	EXPECT_EQ(MESSAGE_COMPLETE, result.state);
 	EXPECT_EQ("|200|A: 1\r\n||keep", result.text);
 }
 
-/* Any bytes at all: a verdict, and no more read than there is. */
-TEST(MessageTest, AnyBytesGetAVerdict)
+/* Guards against crashes, and reads past the end, on corrupted messages. */
+TEST(MessageTest, RandomBytesAreHandled)
 {
 	std::mt19937 random(11);
 
