--- a/tools/rename.py
+++ b/tools/rename.py
@@ -28,18 +28,7 @@
 code = [t for t in tracked if t.endswith((".c", ".h", ".cc"))]
 read = lambda t: open(f"{tree}/{t}", encoding="utf-8").read()
 changed = set()
-for old, new in files:
-    if not os.path.exists(f"{tree}/{old}"): print(f"file {old}: not there, passed over"); continue
-    subprocess.run(["git", "-C", tree, "mv", old, new], check=True)
-    tracked = [new if t == old else t for t in tracked]; code = [new if t == old else t for t in code]
-    inc = lambda p: re.sub(r"^packages/", "", p)
-    for t in tracked:
-        s = read(t); r = s.replace(f'"{inc(old)}"', f'"{inc(new)}"')
-        if not t.endswith((".c", ".h", ".cc")):
-            r = re.sub(r"(?<![\w/])%s(?!\w)" % re.escape(os.path.basename(old)), os.path.basename(new), r) if os.path.dirname(t) and os.path.dirname(old).startswith(os.path.dirname(t)) else r
-            r = r.replace(old, new)
-        if r != s: open(f"{tree}/{t}", "w").write(r); changed.add(t)
-# members first: the tree must still compile as compile_commands has it.
+# Members come first: compile_commands.json has the paths from before the files move.
 if members:
     import concurrent.futures, tempfile
     cc = json.load(open(build + "/compile_commands.json"))
@@ -66,6 +55,18 @@
         r = subprocess.run(["clang-apply-replacements-14", out], capture_output=True, text=True)
         if r.returncode: print(r.stdout + r.stderr)
         changed |= {t for t in code if read(t) != before[t]}
+for old, new in files:
+    if not os.path.exists(f"{tree}/{old}"): print(f"file {old}: not there, passed over"); continue
+    subprocess.run(["git", "-C", tree, "mv", old, new], check=True)
+    tracked = [new if t == old else t for t in tracked]; code = [new if t == old else t for t in code]
+    changed = {new if t == old else t for t in changed}
+    inc = lambda p: re.sub(r"^packages/", "", p)
+    for t in tracked:
+        s = read(t); r = s.replace(f'"{inc(old)}"', f'"{inc(new)}"')
+        if not t.endswith((".c", ".h", ".cc")):
+            r = re.sub(r"(?<![\w/])%s(?!\w)" % re.escape(os.path.basename(old)), os.path.basename(new), r) if os.path.dirname(t) and os.path.dirname(old).startswith(os.path.dirname(t)) else r
+            r = r.replace(old, new)
+        if r != s: open(f"{tree}/{t}", "w").write(r); changed.add(t)
 tok = re.compile(r'("(?:\\.|[^"\\\n])*"|\'(?:\\.|[^\'\\\n])*\')|(/\*.*?\*/|//[^\n]*)|([A-Za-z_]\w*)', re.S)
 word = re.compile(r"[A-Za-z_]\w*")
 seen = set()
@@ -80,10 +81,8 @@
             if m[3] in here: seen.add(m[3])
             return here.get(m[3], m[3])
         # #include lines hold file names, not identifiers
-        r = "".join(l if l.lstrip().startswith("#include") else tok.sub(sub, l) for l in [s]) if "#include" not in s else None
-        if r is None:
-            parts = re.split(r"(^[ \t]*#[ \t]*include[^\n]*\n)", s, flags=re.M)
-            r = "".join(p if i % 2 else tok.sub(sub, p) for i, p in enumerate(parts))
+        parts = re.split(r"(^[ \t]*#[ \t]*include[^\n]*\n)", s, flags=re.M)
+        r = "".join(p if i % 2 else tok.sub(sub, p) for i, p in enumerate(parts))
     elif t == "KNOWN-RED.txt" or t.endswith((".sh", "Makefile")):
         r = word.sub(lambda w: here.get(w[0], w[0]) if re.search(r"[A-Z].*[a-z]|^[A-Za-z]+_[a-z_]+$", w[0]) else w[0], s)
     else: continue
